--- a/rhubarbhinge/gateway/_call_terms.py
+++ b/rhubarbhinge/gateway/_call_terms.py
@@ -6,11 +6,11 @@
 
 HEDGE_QUANTILE = 0.92
 """A request that takes longer than so many others is sent to a second searcher."""
-LEAST_HEDGE_SHARE = 0.12
+MIN_HEDGE_FRACTION = 0.12
 """Hedges wait at least this part of the latency objective."""
-MOST_HEDGE_SHARE = 0.45
+MAX_HEDGE_FRACTION = 0.45
 """Hedges wait at most this part of the latency objective, so that they still can be in time."""
-RETRY_SHARE = 0.5
+RETRY_FRACTION = 0.5
 """Refusals are followed by further tries up to this part of the latency objective."""
 
 
@@ -45,15 +45,15 @@
     :returns: the terms.
     """
     hedge_ms = min(
-        MOST_HEDGE_SHARE * target_latency_ms,
-        max(LEAST_HEDGE_SHARE * target_latency_ms, delays.quantile(HEDGE_QUANTILE)),
+        MAX_HEDGE_FRACTION * target_latency_ms,
+        max(MIN_HEDGE_FRACTION * target_latency_ms, delays.quantile(HEDGE_QUANTILE)),
     )
     return CallTerms(
         route_name,
         idempotent,
         max_attempts,
         hedge_ms if idempotent else None,
-        started_ms + (0.0 if searcher else RETRY_SHARE * target_latency_ms),
+        started_ms + (0.0 if searcher else RETRY_FRACTION * target_latency_ms),
         deadline_ms,
         priority,
         due_ms,
--- a/rhubarbhinge/gateway/_domain_checks.py
+++ b/rhubarbhinge/gateway/_domain_checks.py
@@ -8,12 +8,12 @@
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
 
-SAMPLE = 3
+SAMPLE_SIZE = 3
 """Searchers to which connections are opened, to find out whether their domain can be reached. Of a
 domain in which half of the searchers are down, one of three answers in seven cases of eight. All of
 195 entries together open some three to each of 174 searchers; one to each from every entry, as many
 as a domain has, are more than a searcher takes."""
-VERIFY_MS = 30.0
+VERIFY_TIMEOUT_MS = 30.0
 """A domain none of whose sample has answered by then counts as out of reach. A connection takes 6
 ms and two crossings; one that takes longer ends the conclusion as soon as it is open."""
 
@@ -48,7 +48,7 @@
         self._reach = reach
         self._rng = rng
         self._on_change = on_change
-        self._checked: set[str] = set()
+        self._being_checked: set[str] = set()
         self._down: dict[str, set[ObservedSearcher]] = {}
 
     def suspect(self, failure_domain: str) -> None:
@@ -56,9 +56,9 @@
 
         :param failure_domain: the domain.
         """
-        if failure_domain in self._checked or failure_domain in self._down:
+        if failure_domain in self._being_checked or failure_domain in self._down:
             return
-        self._checked.add(failure_domain)
+        self._being_checked.add(failure_domain)
         sample = self._sample(self._usable(failure_domain))
         log_event(
             "domain-suspected",
@@ -69,9 +69,9 @@
         since_ms = self._timers.now_ms()
         for observed in sample:
             self._pool.verify(observed)
-        self._timers.after(VERIFY_MS, lambda: self._conclude(failure_domain, since_ms))
+        self._timers.after(VERIFY_TIMEOUT_MS, lambda: self._finish_check(failure_domain, since_ms))
 
-    def heard(self, failure_domain: str) -> None:
+    def on_heard(self, failure_domain: str) -> None:
         """Use the searchers of a domain again from which something was heard.
 
         :param failure_domain: the domain.
@@ -87,17 +87,17 @@
 
     def probe(self) -> None:
         """Try searchers that can't be reached; of a domain that is out of reach only a few."""
-        aside: set[ObservedSearcher] = set()
+        in_unreachable_domains: set[ObservedSearcher] = set()
         for down in self._down.values():
-            aside |= down
+            in_unreachable_domains |= down
             for observed in self._sample([one for one in down if one.usable]):
                 self._pool.open_ahead(observed)
         for observed in self._fleet.all():
-            if observed.is_down and observed.usable and observed not in aside:
+            if observed.is_down and observed.usable and observed not in in_unreachable_domains:
                 self._pool.open_ahead(observed)
 
-    def _conclude(self, failure_domain: str, since_ms: float) -> None:
-        self._checked.discard(failure_domain)
+    def _finish_check(self, failure_domain: str, since_ms: float) -> None:
+        self._being_checked.discard(failure_domain)
         if self._reach.heard_since(failure_domain, since_ms):
             return
         usable = self._usable(failure_domain)
@@ -122,4 +122,4 @@
         ]
 
     def _sample(self, searchers: list[ObservedSearcher]) -> list[ObservedSearcher]:
-        return self._rng.sample(searchers, min(SAMPLE, len(searchers)))
+        return self._rng.sample(searchers, min(SAMPLE_SIZE, len(searchers)))
--- a/rhubarbhinge/gateway/_pages.py
+++ b/rhubarbhinge/gateway/_endpoints.py
@@ -2,16 +2,16 @@
 
 from collections.abc import Callable
 
-from rhubarbhinge.gateway._figures import EntryFigures
+from rhubarbhinge.gateway._entry_metrics import EntryMetrics
 from rhubarbhinge.telemetry import CONTENT_TYPE, Metrics
 from rhubarbhinge.web import Request, Responder, Response, error_response
 
 METRICS_PATH = "/metrics"
 
-Page = Callable[[Request, Responder], None]
+RequestCallback = Callable[[Request, Responder], None]
 
 
-def readiness_page(path: Callable[[], str], is_ready: Callable[[], bool]) -> Page:
+def readiness_handler(path: Callable[[], str], is_ready: Callable[[], bool]) -> RequestCallback:
     """Answer whether callers may be sent here.
 
     :param path: gives the path that the balancer asks for.
@@ -21,14 +21,14 @@
 
     def handle(request: Request, responder: Responder) -> None:
         if request.path != path():
-            responder.answer(_no_such_page(request))
+            responder.answer(_not_found(request))
         else:
             responder.answer(Response(200 if is_ready() else 503))
 
     return handle
 
 
-def metrics_page(metrics: Metrics, figures: EntryFigures) -> Page:
+def metrics_handler(metrics: Metrics, entry_metrics: EntryMetrics) -> RequestCallback:
     """Answer with all metrics.
 
     :param metrics: the metrics.
@@ -38,15 +38,15 @@
 
     def handle(request: Request, responder: Responder) -> None:
         if request.path != METRICS_PATH:
-            responder.answer(_no_such_page(request))
+            responder.answer(_not_found(request))
             return
-        figures.show(metrics)
+        entry_metrics.update(metrics)
         responder.answer(Response(200, metrics.render(), content_type=CONTENT_TYPE))
 
     return handle
 
 
-def _no_such_page(request: Request) -> Response:
+def _not_found(request: Request) -> Response:
     return error_response(
         404, "no-such-path", f"There is no {request.path[:80]} here.", "See docs/OPERATIONS.md."
     )
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -11,21 +11,21 @@
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
 from rhubarbhinge.forward import CallTerms, ConnectionPool, Dialect, Surroundings
 from rhubarbhinge.gateway._address import Address
-from rhubarbhinge.gateway._answer_lead import AnswerLead
+from rhubarbhinge.gateway._answer_lead_time import AnswerLeadTime
 from rhubarbhinge.gateway._call_terms import ask_terms
-from rhubarbhinge.gateway._cold_shares import ColdShares
-from rhubarbhinge.gateway._connection_shares import connection_shares
+from rhubarbhinge.gateway._connection_limit import connection_limit
 from rhubarbhinge.gateway._domain_checks import DomainChecks
+from rhubarbhinge.gateway._endpoints import metrics_handler, readiness_handler
+from rhubarbhinge.gateway._entry_metrics import EntryMetrics
 from rhubarbhinge.gateway._entry_settings import EntrySettings
-from rhubarbhinge.gateway._far_search import far_search
-from rhubarbhinge.gateway._figures import EntryFigures
 from rhubarbhinge.gateway._gateway import Gateway
-from rhubarbhinge.gateway._gateway_parts import GatewayParts
-from rhubarbhinge.gateway._link_use import LinkUse
+from rhubarbhinge.gateway._gateway_dependencies import GatewayDependencies
+from rhubarbhinge.gateway._link_usage import LinkUsage
 from rhubarbhinge.gateway._live_settings import LiveSettings, ReadSettings
-from rhubarbhinge.gateway._pages import metrics_page, readiness_page
-from rhubarbhinge.gateway._serving import Serving
+from rhubarbhinge.gateway._serving_state import ServingState
+from rhubarbhinge.gateway._shard_delegation import shard_delegation
 from rhubarbhinge.gateway._shutdown import Shutdown
+from rhubarbhinge.gateway._warmup_limiter import WarmupLimiter
 from rhubarbhinge.peers import KnownState, Peers, SharedSource
 from rhubarbhinge.plans import CallerLimits, ServingPlan
 from rhubarbhinge.published import Follower, Source
@@ -40,16 +40,16 @@
 HOUSEKEEPING_MS = 250.0
 """How often an entry looks after its connections, its log, and whether it can serve; together, as
 each wake-up costs. Searchers that can't be reached are tried as often."""
-MOST_CALLER_CONNECTIONS = 2_500
+MAX_CALLER_CONNECTIONS = 2_500
 """Callers' connections; the descriptors of a VM less those for searchers and files."""
 NEVER_GZIP_BYTES = 1 << 62
 """Searchers' bodies are passed on as they are."""
-ASSUMED_PROCESSES = 8
+INITIAL_PROCESSES = 8
 """Entries that share limits while the others have not been heard of; the most of today's sites."""
-SETTLE_MS = 3_000.0
+MEMBERSHIP_SETTLE_MS = 3_000.0
 """Within so long after its start an entry has heard of the others: several heartbeats."""
 
-LINKS_MS = 500.0
+LINK_CHECK_MS = 500.0
 """How often an entry opens the links that it lacks to others of its failure domain. Callers may
 come as soon as it has a plan, and its first searches are to be split as all others."""
 RELOAD_MS = 2_000.0
@@ -82,19 +82,19 @@
         super().__init__()
         self._event_log = event_log
         self._settings = LiveSettings(read_settings, self._settings_changed)
-        settings = self._settings.now
+        settings = self._settings.current
         self._stopping = False
         self._rng = random.Random(random.SystemRandom().getrandbits(64))
         self._metrics = Metrics()
         self.timers = TimerService().register(self)
-        self._settled_at_ms = self.timers.now_ms() + SETTLE_MS
+        self._membership_settled_at_ms = self.timers.now_ms() + MEMBERSHIP_SETTLE_MS
         store_client = HttpClient(self.timers).register(self)
         peer_client = HttpClient(self.timers, takes_gzip=True).register(self)
-        self._fleet = Fleet(self.timers.now_ms, self._searcher_left)
+        self._fleet = Fleet(self.timers.now_ms, self._searcher_removed)
         self._reach = DomainReach(
             self.timers.now_ms,
             lambda failure_domain: self._domain_checks.suspect(failure_domain),
-            lambda failure_domain: self._domain_checks.heard(failure_domain),
+            lambda failure_domain: self._domain_checks.on_heard(failure_domain),
         )
         self._pool = ConnectionPool(
             self.timers, dialect, self._most_connections, self._fleet.mark_gone, self._reach
@@ -105,18 +105,18 @@
             self._pool,
             self._reach,
             self._rng,
-            lambda: self._serving.check(),
+            lambda: self._serving_state.update(),
         )
         self._budget = RetryBudget(settings.retry_budget, self.timers.now_ms, self._processes)
         preference = expected_cost(settings.failure_domain, self._rng)
-        around = Surroundings(
+        context = Surroundings(
             self.timers,
             self._fleet,
             preference,
             self._budget,
             lambda exchange, tell: self._far_sends.send(exchange, tell),
             self._metrics,
-            lambda observed, now_ms: self._cold_shares.may_send(observed, now_ms),
+            lambda observed, now_ms: self._warmup_limiter.may_send(observed, now_ms),
         )
         quarantine = Quarantine(
             self.timers.now_ms,
@@ -127,7 +127,7 @@
         source = SharedSource(
             self.timers,
             peer_client,
-            make_source(store_client, lambda: self._settings.now.store),
+            make_source(store_client, lambda: self._settings.current.store),
             settings.name,
             settings.failure_domain,
             settings.peer_port,
@@ -154,36 +154,36 @@
         ).register(self)
         membership = self._peers.membership
         source.know(membership, self._peers.reports, lambda: KnownState.of(self._follower))
-        self._cold_shares = ColdShares(
-            self._follower, membership, lambda: self._settings.now.cold_rule, self.timers.now_ms
+        self._warmup_limiter = WarmupLimiter(
+            self._follower, membership, lambda: self._settings.current.cold_rule, self.timers.now_ms
         )
-        self.timers.on_pause(lambda late_ms: self._cold_shares.on_pause())
-        self._share = connection_shares(self._follower, membership, self._processes)
+        self.timers.on_pause(lambda late_ms: self._warmup_limiter.on_pause())
+        self._connection_limit = connection_limit(self._follower, membership, self._processes)
         delegates = Delegates(
             self.timers, membership, settings.ask_port, self._rng, self._reach
         ).register(self)
         prepare = delegates.prepare
-        self.timers.every(LINKS_MS, lambda: prepare(settings.failure_domain))
+        self.timers.every(LINK_CHECK_MS, lambda: prepare(settings.failure_domain))
         self._far_sends = FarSends(self.timers, delegates, settings.failure_domain, self._pool.send)
-        far = far_search(settings.failure_domain, around, delegates, self._rng)
-        parts = GatewayParts(
-            around,
+        delegation = shard_delegation(settings.failure_domain, context, delegates, self._rng)
+        dependencies = GatewayDependencies(
+            context,
             dialect,
             self._follower,
             self._metrics,
             self._rng,
-            far,
-            AnswerLead(lambda: self._settings.now.link_bits_per_ms),
-            lambda: self._serving.moving_ms(),
+            delegation,
+            AnswerLeadTime(lambda: self._settings.current.link_bits_per_ms),
+            lambda: self._serving_state.balancer_delay_ms(),
             quarantine,
         )
-        self._gateway = Gateway(parts)
-        self._serving = Serving(
+        self._gateway = Gateway(dependencies)
+        self._serving_state = ServingState(
             self.timers.now_ms, self._fleet, self._gateway.can_serve, self._serving_changed
         )
         self._asks = AskServer(
             self.timers,
-            around,
+            context,
             self._ask_terms,
             self._gateway.delays_of,
             (settings.ip, settings.ask_port),
@@ -192,8 +192,8 @@
         self._callers = HttpServer(
             self.timers, self._gateway.handle, settings.callers, _limits(CallerLimits())
         )
-        self._accepting = False
-        self._link_use = LinkUse(
+        self._accepts_callers = False
+        self._link_usage = LinkUsage(
             {
                 "callers": lambda: self._callers.sent_bytes,
                 "searchers": lambda: self._pool.sent_bytes,
@@ -201,28 +201,30 @@
                 "parts": lambda: self._asks.sent_bytes,
                 "state": lambda: self._peers.sent_bytes,
             },
-            lambda: self._settings.now.link_bits_per_ms,
+            lambda: self._settings.current.link_bits_per_ms,
             self.timers.now_ms,
         )
-        figures = EntryFigures(
+        entry_metrics = EntryMetrics(
             self._follower,
             self._peers,
             source,
             self._fleet,
             self._pool,
             self._budget,
-            self._link_use,
+            self._link_usage,
             quarantine,
             event_log,
         )
         self._shutdown = Shutdown(self.timers, self._callers, self._asks, self.stop)
         self.timers.after(NO_PLAN_WAIT_MS, self._accept_callers)
-        readiness = readiness_page(lambda: self._settings.now.readiness_path, lambda: self.ready)
+        readiness = readiness_handler(
+            lambda: self._settings.current.readiness_path, lambda: self.ready
+        )
         HttpServer(self.timers, readiness, settings.readiness).register(self)
-        metrics = metrics_page(self._metrics, figures)
+        metrics = metrics_handler(self._metrics, entry_metrics)
         HttpServer(self.timers, metrics, (settings.ip, settings.metrics_port)).register(self)
-        self._house_due_ms = self.timers.now_ms() + HOUSEKEEPING_MS
-        self.timers.every(HOUSEKEEPING_MS, self._keep_house)
+        self._housekeeping_due_ms = self.timers.now_ms() + HOUSEKEEPING_MS
+        self.timers.every(HOUSEKEEPING_MS, self._run_housekeeping)
         reload = self._settings.reload
         self.timers.every(RELOAD_MS, reload)
         signal.signal(signal.SIGHUP, lambda number, stack: self.timers.after(0, reload))
@@ -241,7 +243,7 @@
     @property
     def ready(self) -> bool:
         """Whether the balancer may send callers here."""
-        return not self._stopping and self._serving.now
+        return not self._stopping and self._serving_state.is_serving
 
     def _settings_changed(self, settings: EntrySettings) -> None:
         self._budget.rule = settings.retry_budget
@@ -252,24 +254,24 @@
 
     def _processes(self) -> int:
         now_ms = self.timers.now_ms()
-        if now_ms < self._settled_at_ms:
-            return max(ASSUMED_PROCESSES, self._peers.membership.processes())
+        if now_ms < self._membership_settled_at_ms:
+            return max(INITIAL_PROCESSES, self._peers.membership.processes())
         return self._peers.membership.processes()
 
     def _most_connections(self, observed: ObservedSearcher) -> int:
-        return self._share(observed)
+        return self._connection_limit(observed)
 
-    def _searcher_left(self, observed: ObservedSearcher) -> None:
+    def _searcher_removed(self, observed: ObservedSearcher) -> None:
         self._pool.forget(observed)
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         self._pool.close_idle()
         self._domain_checks.probe()
-        self._serving.check()
-        self._link_use.check()
+        self._serving_state.update()
+        self._link_usage.close_period()
         now_ms = self.timers.now_ms()
-        self._metrics.observe_loop_lag(max(0.0, now_ms - self._house_due_ms))
-        self._house_due_ms = now_ms + HOUSEKEEPING_MS
+        self._metrics.observe_loop_lag(max(0.0, now_ms - self._housekeeping_due_ms))
+        self._housekeeping_due_ms = now_ms + HOUSEKEEPING_MS
         if self._event_log is not None:
             self._event_log.flush()
 
@@ -277,8 +279,8 @@
         self._callers.close_after_answers(not serving)
 
     def _accept_callers(self) -> None:
-        if not self._accepting:
-            self._accepting = True
+        if not self._accepts_callers:
+            self._accepts_callers = True
             self._callers.register(self)
 
     def _plan_changed(self, plan: ServingPlan) -> None:
@@ -286,7 +288,7 @@
         self._peers.tell_plan()
         self._gateway.on_plan(plan)
         self._callers.limit(_limits(plan.limits))
-        self._serving.check()
+        self._serving_state.update()
 
     # Stopping.
 
@@ -301,7 +303,7 @@
         if self._stopping:
             return
         self._stopping = True
-        self._shutdown.begin(self._settings.now.stop_grace_ms)
+        self._shutdown.begin(self._settings.current.stop_grace_ms)
         self._peers.leave()
 
 
@@ -309,7 +311,7 @@
     return HttpLimits(
         header_bytes=limits.header_bytes,
         body_bytes=limits.body_bytes,
-        connections=MOST_CALLER_CONNECTIONS,
+        connections=MAX_CALLER_CONNECTIONS,
         header_timeout_ms=limits.header_timeout_ms,
         idle_timeout_ms=limits.idle_timeout_ms,
         gzip_least_bytes=NEVER_GZIP_BYTES,
--- a/rhubarbhinge/gateway/_figures.py
+++ b/rhubarbhinge/gateway/_entry_metrics.py
@@ -2,7 +2,7 @@
 
 from rhubarbhinge.fleet import Fleet
 from rhubarbhinge.forward import ConnectionPool
-from rhubarbhinge.gateway._link_use import LinkUse
+from rhubarbhinge.gateway._link_usage import LinkUsage
 from rhubarbhinge.peers import Peers, SharedSource
 from rhubarbhinge.published import Follower
 from rhubarbhinge.quarantine import Quarantine
@@ -19,13 +19,15 @@
     "quarantine_refused_total", "Attempts at quarantined requests that were refused", True
 )
 EXTRA_SENDS = Figure("extra_sends_total", "Hedges and retries that the budget granted", True)
-EXTRA_REFUSED = Figure("extra_sends_refused_total", "Hedges and retries that it did not", True)
-BUDGET_LEFT = Figure("extra_sends_left", "Extra sends left for the service that has least")
+EXTRA_SENDS_REFUSED = Figure(
+    "extra_sends_refused_total", "Hedges and retries that it did not", True
+)
+EXTRA_SENDS_LEFT = Figure("extra_sends_left", "Extra sends left for the service that has least")
 STORE_CALLS = Figure("platform_calls_total", "Reads and watches of the platform's store", True)
 READER_CALLS = Figure("reader_calls_total", "Waits for changes at another entry", True)
 STORE_ERA = Figure("store_era", "Era of the store that is known: its returns from copies")
-UNUSABLE = Figure("unusable_entries", "Keys of the store that hold what can't be used")
-UNUSABLE_FOUND = Figure("unusable_entries_total", "Such values read since the start", True)
+UNUSABLE_ENTRIES = Figure("unusable_entries", "Keys of the store that hold what can't be used")
+UNUSABLE_ENTRIES_FOUND = Figure("unusable_entries_total", "Such values read since the start", True)
 LINK_BYTES = {
     "callers": Figure("sent_to_callers_bytes_total", "Bytes of answers to callers", True),
     "searchers": Figure("sent_to_searchers_bytes_total", "Bytes of requests to searchers", True),
@@ -37,7 +39,7 @@
 LINES_DROPPED = Figure("log_lines_dropped_total", "Lines above the log's budget, or unread", True)
 
 
-class EntryFigures:
+class EntryMetrics:
     """Reads an entry's parts when its metrics are asked for.
 
     :param follower: the published state.
@@ -59,7 +61,7 @@
         fleet: Fleet,
         pool: ConnectionPool,
         budget: RetryBudget,
-        link_use: LinkUse,
+        link_use: LinkUsage,
         quarantine: Quarantine,
         event_log: EventLog | None,
     ):
@@ -69,11 +71,11 @@
         self._fleet = fleet
         self._pool = pool
         self._budget = budget
-        self._link_use = link_use
+        self._link_usage = link_use
         self._quarantine = quarantine
         self._event_log = event_log
 
-    def show(self, metrics: Metrics) -> None:
+    def update(self, metrics: Metrics) -> None:
         """Show the figures of now.
 
         :param metrics: takes them.
@@ -89,16 +91,16 @@
         metrics.show(BAD_LOADS, self._pool.bad_loads)
         metrics.show(WAITING, self._pool.waiting)
         metrics.show(EXTRA_SENDS, self._budget.granted)
-        metrics.show(EXTRA_REFUSED, self._budget.refused)
-        metrics.show(BUDGET_LEFT, self._budget.least_left())
+        metrics.show(EXTRA_SENDS_REFUSED, self._budget.refused)
+        metrics.show(EXTRA_SENDS_LEFT, self._budget.least_left())
         metrics.show(STORE_CALLS, self._source.platform_calls)
         metrics.show(READER_CALLS, self._source.reader_calls)
         metrics.show(STORE_ERA, self._follower.revision.era)
-        metrics.show(UNUSABLE, len(self._follower.unusable))
-        metrics.show(UNUSABLE_FOUND, self._follower.unusable.found)
+        metrics.show(UNUSABLE_ENTRIES, len(self._follower.unusable))
+        metrics.show(UNUSABLE_ENTRIES_FOUND, self._follower.unusable.found)
         metrics.show(QUARANTINED, self._quarantine.convicted)
         metrics.show(QUARANTINE_REFUSED, self._quarantine.refused)
-        for kind, total in self._link_use.totals().items():
+        for kind, total in self._link_usage.totals().items():
             metrics.show(LINK_BYTES[kind], total)
         if self._event_log is not None:
             metrics.show(LINES_DROPPED, self._event_log.dropped)
--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -4,17 +4,17 @@
 
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import CallerRequest
-from rhubarbhinge.gateway._answers import refused, unknown_route
-from rhubarbhinge.gateway._gateway_parts import GatewayParts
-from rhubarbhinge.gateway._handling import Handling
-from rhubarbhinge.gateway._recent_routes import RecentRoutes
+from rhubarbhinge.gateway._gateway_dependencies import GatewayDependencies
+from rhubarbhinge.gateway._recent_requests import RecentRequests
+from rhubarbhinge.gateway._request_handler import RequestHandler
+from rhubarbhinge.gateway._responses import refused, unknown_route
 from rhubarbhinge.gateway._split import Splitter
 from rhubarbhinge.plans import Route, ServingPlan
 from rhubarbhinge.quarantine import ONE_FIRST, Quarantined
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.web import Request, Responder, Response
 
-TYPICAL_SHARE = 0.2
+INITIAL_DELAY_FRACTION = 0.2
 """Part of the latency objective that a shard is assumed to take before any was seen."""
 NO_PLAN_RETRY_AFTER_MS = 300.0
 """A starting entry has read its configuration within some tenths of a second."""
@@ -26,12 +26,12 @@
     :param parts: what requests share.
     """
 
-    def __init__(self, parts: GatewayParts):
-        self._parts = parts
-        self._follower = parts.follower
+    def __init__(self, dependencies: GatewayDependencies):
+        self._dependencies = dependencies
+        self._follower = dependencies.follower
         self._splitter = Splitter()
         self._delays: dict[str, Delays] = {}
-        self._recent = RecentRoutes(parts.surroundings.timers.now_ms)
+        self._recent_requests = RecentRequests(dependencies.context.timers.now_ms)
 
     def on_plan(self, plan: ServingPlan) -> None:
         """Follow a new plan.
@@ -39,9 +39,9 @@
         :param plan: the plan.
         """
         names = {route.name for route in plan.routes}
-        self._splitter.keep(names)
-        self._parts.lead.keep(names)
-        self._parts.quarantine.on_routes(names)
+        self._splitter.retain(names)
+        self._dependencies.lead_time.retain(names)
+        self._dependencies.quarantine.on_routes(names)
         for name in self._delays.keys() - names:
             del self._delays[name]
 
@@ -57,10 +57,10 @@
         plan = self._follower.plan
         if plan is None:
             return False
-        fleet = self._parts.surroundings.fleet
+        fleet = self._dependencies.context.fleet
         by_name = {route.name: route for route in plan.routes}
         servable = served = 0
-        for name, requests in self._recent.counts():
+        for name, requests in self._recent_requests.counts():
             route = by_name.get(name)
             if route is not None and _has_enough(route, fleet.is_published):
                 servable += requests
@@ -74,7 +74,7 @@
         :param request: the request.
         :param responder: answers it.
         """
-        asked = self._parts.dialect.caller_request(request)
+        caller_request = self._dependencies.dialect.caller_request(request)
         plan = self._follower.plan
         if plan is None:
             message = "This entry has no configuration yet."
@@ -82,29 +82,31 @@
             return
         route = plan.find(request.headers.get("host", ""), request.target.partition("?")[0])
         if route is None:
-            responder.answer(self._no_route(asked, plan))
+            responder.answer(self._route_not_found(caller_request, plan))
             return
-        self._recent.add(route.name)
-        handling = Handling(self._parts, asked, plan, route, responder, request.transit_ms)
-        verdict = self._parts.quarantine.verdict(
-            asked.fingerprint, route.name, spreads=route.shards is not None
+        self._recent_requests.add(route.name)
+        handler = RequestHandler(
+            self._dependencies, caller_request, plan, route, responder, request.transit_ms
+        )
+        verdict = self._dependencies.quarantine.verdict(
+            caller_request.fingerprint, route.name, spreads=route.shards is not None
         )
         if isinstance(verdict, Quarantined):
-            handling.refuse(verdict)
+            handler.refuse(verdict)
             return
-        handling.watch(verdict == ONE_FIRST)
+        handler.watch(verdict == ONE_FIRST)
         if route.shards is not None:
-            handling.gather(self.delays_of(route.name, route.target_latency_ms))
+            handler.gather(self.delays_of(route.name, route.target_latency_ms))
         else:
-            handling.forward(
+            handler.forward(
                 self._splitter.next(route), self.delays_of(route.name, route.target_latency_ms)
             )
 
-    def _no_route(self, asked: CallerRequest, plan: ServingPlan) -> Response:
+    def _route_not_found(self, caller_request: CallerRequest, plan: ServingPlan) -> Response:
         current = self._follower.is_current()
         log_event(
             "no-route",
-            request=asked.id,
+            request=caller_request.id,
             plan=plan.version,
             age_ms=round(self._follower.age_ms()),
             current=current,
@@ -123,7 +125,7 @@
         """
         delays = self._delays.get(route_name)
         if delays is None:
-            delays = Delays(TYPICAL_SHARE * target_latency_ms)
+            delays = Delays(INITIAL_DELAY_FRACTION * target_latency_ms)
             self._delays[route_name] = delays
         return delays
 
--- a/rhubarbhinge/gateway/_gateway_parts.py
+++ b/rhubarbhinge/gateway/_gateway_dependencies.py
@@ -6,14 +6,14 @@
 from msgspec import Struct
 
 from rhubarbhinge.forward import Dialect, Surroundings
-from rhubarbhinge.gateway._answer_lead import AnswerLead
-from rhubarbhinge.gather import FarSearch
+from rhubarbhinge.gateway._answer_lead_time import AnswerLeadTime
+from rhubarbhinge.gather import ShardDelegation
 from rhubarbhinge.published import Follower
 from rhubarbhinge.quarantine import Quarantine
 from rhubarbhinge.telemetry import Metrics
 
 
-class GatewayParts(Struct, frozen=True):
+class GatewayDependencies(Struct, frozen=True):
     """What the requests of a gateway share.
 
     :param surroundings: timers, searchers, budget and connections.
@@ -27,12 +27,12 @@
     :param quarantine: which requests end the searchers that execute them.
     """
 
-    surroundings: Surroundings
+    context: Surroundings
     dialect: Dialect
     follower: Follower
     metrics: Metrics
     rng: random.Random
-    far: FarSearch
-    lead: AnswerLead
-    moving_ms: Callable[[], float]
+    delegation: ShardDelegation
+    lead_time: AnswerLeadTime
+    balancer_delay_ms: Callable[[], float]
     quarantine: Quarantine
--- a/rhubarbhinge/gateway/_link_use.py
+++ b/rhubarbhinge/gateway/_link_usage.py
@@ -4,12 +4,12 @@
 
 from rhubarbhinge.telemetry import log_event
 
-BUSY_SHARE = 0.3
+BUSY_FRACTION = 0.3
 """Part of the link's rate above which a period is logged. A search that meets a transfer waits for
 as long as that takes: at 0.3 of a period of 250 ms 75 ms, as long as an urgent answer may take."""
 
 
-class LinkUse:
+class LinkUsage:
     """Counts what this entry sends by kind, and logs the periods in which it fills the link.
 
     :param sent_bytes: gives the bytes sent since the start, by kind.
@@ -36,13 +36,13 @@
         """
         return {kind: count() for kind, count in self._sent_bytes.items()}
 
-    def check(self) -> None:
+    def close_period(self) -> None:
         """Close a period, and log it if the link was busy."""
         now_ms, totals = self._now_ms(), self.totals()
         sent = {kind: total - self._last[kind] for kind, total in totals.items()}
         period_ms = now_ms - self._last_ms
         self._last, self._last_ms = totals, now_ms
-        most_bytes = BUSY_SHARE * period_ms * self._link_bits_per_ms() / 8
-        if 0 < most_bytes < sum(sent.values()):
+        threshold_bytes = BUSY_FRACTION * period_ms * self._link_bits_per_ms() / 8
+        if 0 < threshold_bytes < sum(sent.values()):
             counts = {f"{kind}_bytes": count for kind, count in sent.items() if count}
             log_event("link-busy", period_ms=round(period_ms), **counts)
--- a/rhubarbhinge/gateway/_live_settings.py
+++ b/rhubarbhinge/gateway/_live_settings.py
@@ -19,21 +19,21 @@
     def __init__(self, read: ReadSettings, on_change: Callable[[EntrySettings], None]):
         self._read = read
         self._on_change = on_change
-        self._fault = ""
-        self.now = read()
+        self._last_error = ""
+        self.current = read()
 
     def reload(self) -> None:
         """Read the settings again; faulty ones leave those in force, and are logged once."""
         try:
             settings = self._read()
         except SettingsError as error:
-            if str(error) != self._fault:
+            if str(error) != self._last_error:
                 log_event("settings-refused", level="error", code=error.code, detail=str(error))
-            self._fault = str(error)
+            self._last_error = str(error)
             return
-        self._fault = ""
-        if settings == self.now:
+        self._last_error = ""
+        if settings == self.current:
             return
-        log_event("settings-reloaded", changed=",".join(changed_fields(self.now, settings)))
-        self.now = settings
+        log_event("settings-reloaded", changed=",".join(changed_fields(self.current, settings)))
+        self.current = settings
         self._on_change(settings)
--- a/rhubarbhinge/gateway/_recent_routes.py
+++ b/rhubarbhinge/gateway/_recent_requests.py
@@ -3,11 +3,11 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-SPAN_MS = 5_000.0
+WINDOW_MS = 5_000.0
 """Requests of this and the last such span count; callers ask some ten times a second."""
 
 
-class RecentRoutes:
+class RecentRequests:
     """Counts requests by route over the last seconds.
 
     :param now_ms: gives the time.
@@ -15,31 +15,31 @@
 
     def __init__(self, now_ms: Callable[[], float]):
         self._now_ms = now_ms
-        self._since_ms = now_ms()
-        self._now: Counter[str] = Counter()
-        self._before: Counter[str] = Counter()
+        self._window_start_ms = now_ms()
+        self._current: Counter[str] = Counter()
+        self._previous: Counter[str] = Counter()
 
     def add(self, route_name: str) -> None:
         """Count a request.
 
         :param route_name: its route.
         """
-        self._turn()
-        self._now[route_name] += 1
+        self._rotate()
+        self._current[route_name] += 1
 
     def counts(self) -> Iterable[tuple[str, int]]:
         """Give the counts.
 
         :returns: names of routes and numbers of requests.
         """
-        self._turn()
-        return (self._now + self._before).items()
+        self._rotate()
+        return (self._current + self._previous).items()
 
-    def _turn(self) -> None:
+    def _rotate(self) -> None:
         now_ms = self._now_ms()
-        if now_ms - self._since_ms < SPAN_MS:
+        if now_ms - self._window_start_ms < WINDOW_MS:
             return
-        recent = now_ms - self._since_ms < 2 * SPAN_MS
-        self._before = self._now if recent else Counter()
-        self._now = Counter()
-        self._since_ms = now_ms
+        recent = now_ms - self._window_start_ms < 2 * WINDOW_MS
+        self._previous = self._current if recent else Counter()
+        self._current = Counter()
+        self._window_start_ms = now_ms
--- a/rhubarbhinge/gateway/_handling.py
+++ b/rhubarbhinge/gateway/_request_handler.py
@@ -15,28 +15,28 @@
     ServiceCall,
     Story,
 )
-from rhubarbhinge.gateway._answers import failed, refused, timed_out
 from rhubarbhinge.gateway._call_terms import call_terms
-from rhubarbhinge.gateway._gateway_parts import GatewayParts
-from rhubarbhinge.gather import Gathered, Gathering, GatherTerms, NotEnough
+from rhubarbhinge.gateway._gateway_dependencies import GatewayDependencies
+from rhubarbhinge.gateway._responses import failed, refused, timed_out
+from rhubarbhinge.gather import Gathered, GatherTerms, ScatterGather, TooFewShards
 from rhubarbhinge.plans import Route, ServingPlan
 from rhubarbhinge.quarantine import Quarantined, RequestWatch
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import Subscription
 from rhubarbhinge.web import Responder, Response
 
-ANSWER_SHARE = 0.96
+ANSWER_FRACTION = 0.96
 """Part of the latency objective after which a search is answered with what there is, less the round
 trips and what answers take here; the rest is for what the round trip varies."""
 WRITE_MARGIN_MS = 2.0
 """A deadline is over so much sooner here: writing an answer takes a millisecond or two."""
-RETRY_AFTER_SHARE = 0.25
+RETRY_AFTER_FRACTION = 0.25
 """Callers come back after this part of the latency objective."""
-LEAST_RETRY_AFTER_MS = 50.0
+MIN_RETRY_AFTER_MS = 50.0
 """Shorter pauses bring the caller back into the same shortage."""
-MOST_NAMED_SHARDS = 8
+MAX_LOGGED_SHARDS = 8
 """Most missing shards that a line of the log names."""
-SAMPLED_ONE_IN = 64
+SAMPLING_INTERVAL = 64
 """One in so many requests that went well is logged with its steps, to compare the others with; at
 20 a second that is a few KB each three seconds, a small part of the log's budget."""
 CALLER_GONE = 0
@@ -45,7 +45,7 @@
 """Statuses that callers take to mean that the request was not executed."""
 
 
-class Handling:
+class RequestHandler:
     """One request under way.
 
     :param parts: what requests share.
@@ -58,28 +58,28 @@
 
     def __init__(
         self,
-        parts: GatewayParts,
-        asked: CallerRequest,
+        dependencies: GatewayDependencies,
+        request: CallerRequest,
         plan: ServingPlan,
         route: Route,
         responder: Responder,
         transit_ms: float = 0.0,
     ):
-        self._parts = parts
-        self._around = parts.surroundings
-        self._asked = asked
+        self._dependencies = dependencies
+        self._context = dependencies.context
+        self._request = request
         self._plan = plan
         self._route = route
         self._responder = responder
-        self._started_ms = self._around.timers.now_ms()
+        self._started_ms = self._context.timers.now_ms()
         wait_ms = route.timeout_ms
-        if asked.wait_ms is not None:
-            wait_ms = min(wait_ms, asked.wait_ms - transit_ms - WRITE_MARGIN_MS)
+        if request.wait_ms is not None:
+            wait_ms = min(wait_ms, request.wait_ms - transit_ms - WRITE_MARGIN_MS)
         self._deadline_ms = self._started_ms + max(1.0, wait_ms)
         self._transit_ms = transit_ms
         self._answer_by_ms = self._deadline_ms
         self._missing: tuple[str, ...] = ()
-        self._story = Story(asked.id, self._around.timers.now_ms)
+        self._request_log = Story(request.id, self._context.timers.now_ms)
         self._timer: Subscription | None = None
         self._cancel: Callable[[], None] | None = None
         self._watch: RequestWatch | None = None
@@ -98,8 +98,8 @@
 
         :param one_first: whether it goes to one searcher first.
         """
-        self._watch = self._parts.quarantine.watch(
-            self._asked.fingerprint, self._route.name, one_first, self._stopped
+        self._watch = self._dependencies.quarantine.watch(
+            self._request.fingerprint, self._route.name, one_first, self._on_searchers_ended
         )
 
     def forward(self, service: str, delays: Delays) -> None:
@@ -108,13 +108,15 @@
         :param service: the service.
         :param delays: the usual delays of such requests.
         """
-        around = self._around
-        around.budget.on_request((service,))
+        context = self._context
+        context.budget.on_request((service,))
         terms = self._terms(delays, self._deadline_ms)
         if self._watch.one_first:
             terms = replace(terms, max_attempts=1, hedge_ms=None)
-        call = ServiceCall(around, self._asked, service, terms, delays, self._called, self._story)
-        self._begin(call.cancel, lambda: self._expired(call))
+        call = ServiceCall(
+            context, self._request, service, terms, delays, self._on_forwarded, self._request_log
+        )
+        self._start_timer(call.cancel, lambda: self._on_timeout(call))
         call.start()
 
     def gather(self, delays: Delays) -> None:
@@ -123,8 +125,8 @@
         :param delays: the usual delays of such requests at one shard.
         """
         route = self._route
-        lead_ms = self._transit_ms + self._parts.lead.lead_ms(route.name)
-        answer_by_ms = self._started_ms + ANSWER_SHARE * route.target_latency_ms - lead_ms
+        lead_ms = self._transit_ms + self._dependencies.lead_time.lead_ms(route.name)
+        answer_by_ms = self._started_ms + ANSWER_FRACTION * route.target_latency_ms - lead_ms
         self._answer_by_ms = answer_by_ms
         terms = GatherTerms(
             route.name,
@@ -133,17 +135,17 @@
             answer_by_ms,
             self._terms(delays, answer_by_ms, route.shards.top_k),
         )
-        gathering = Gathering(
-            self._around,
-            self._asked,
+        search = ScatterGather(
+            self._context,
+            self._request,
             terms,
             delays,
-            self._parts.far,
-            self._gathered,
-            self._story,
+            self._dependencies.delegation,
+            self._on_gathered,
+            self._request_log,
         )
-        self._begin(gathering.cancel, gathering.time_out)
-        gathering.start()
+        self._start_timer(search.cancel, search.time_out)
+        search.start()
 
     def _terms(self, delays: Delays, due_ms: float, top_k: int | None = None) -> CallTerms:
         route = self._route
@@ -161,25 +163,25 @@
         )
         return replace(terms, control=self._watch)
 
-    def _begin(self, cancel: Callable[[], None], on_timeout: Callable[[], None]) -> None:
+    def _start_timer(self, cancel: Callable[[], None], on_timeout: Callable[[], None]) -> None:
         self._cancel = cancel
-        self._responder.on_abandoned(self._abandoned)
+        self._responder.on_abandoned(self._on_caller_gone)
         wait_ms = self._deadline_ms - self._started_ms
-        self._timer = self._around.timers.after(wait_ms, on_timeout)
+        self._timer = self._context.timers.after(wait_ms, on_timeout)
 
-    def _abandoned(self) -> None:
+    def _on_caller_gone(self) -> None:
         self._timer.cancel()
         self._cancel()
         self._watch.close()
         self._log("caller-gone", CALLER_GONE)
 
-    def _stopped(self) -> None:
+    def _on_searchers_ended(self) -> None:
         """Answer at once: no searcher that is still asked would live to reply."""
         self._cancel()
         message = "The searchers that executed this request ended."
         self._answer(failed("ends-searchers", message), "ends-searchers")
 
-    def _expired(self, call: ServiceCall) -> None:
+    def _on_timeout(self, call: ServiceCall) -> None:
         may_have_run = call.may_have_run
         call.cancel()
         if may_have_run:
@@ -187,9 +189,9 @@
         else:
             self._answer(self._refusal("timeout", "No searcher had room in time."), "timeout")
 
-    def _called(self, call: ServiceCall, result: Result) -> None:
+    def _on_forwarded(self, call: ServiceCall, result: Result) -> None:
         if isinstance(result, Passed):
-            self._pass_on(result)
+            self._forward_reply(result)
         elif isinstance(result, Refused):
             why = result.why.value if result.why else "no-searcher"
             self._answer(self._refusal(why, "No searcher took the request."), why)
@@ -197,23 +199,25 @@
             why = result.why.value if result.why else "failed"
             self._answer(failed(why, "The searcher's reply did not come."), why)
 
-    def _pass_on(self, result: Passed) -> None:
+    def _forward_reply(self, result: Passed) -> None:
         reply = result.reply
         if reply.status in NOT_RUN_STATUSES:
             # To callers these say "not run", which this searcher did not say.
             self._answer(failed("searcher-failed", "The searcher failed."), "searcher-failed")
         else:
-            self._answer(self._parts.dialect.passed_on(reply), "passed")
+            self._answer(self._dependencies.dialect.passed_on(reply), "passed")
 
-    def _gathered(self, result: Gathered | NotEnough) -> None:
+    def _on_gathered(self, result: Gathered | TooFewShards) -> None:
         missing = len(result.missing)
         self._missing = result.missing
         if isinstance(result, Gathered):
-            answer = self._parts.dialect.merged(result.signatures, missing, result.body)
+            answer = self._dependencies.dialect.merged(result.signatures, missing, result.body)
             self._answer(answer, "gathered", missing)
-            self._parts.lead.on_answered(self._route.name, answer)
-            if result.by_time:
-                self._parts.lead.on_delay(self._around.timers.now_ms() - self._answer_by_ms)
+            self._dependencies.lead_time.on_answered(self._route.name, answer)
+            if result.at_due_time:
+                self._dependencies.lead_time.on_write_delay(
+                    self._context.timers.now_ms() - self._answer_by_ms
+                )
         elif not result.may_have_run:
             answer = self._refusal("too-few-shards", "Too few shards can answer.")
             self._answer(answer, "timeout" if result.timed_out else "no-shards", missing)
@@ -225,11 +229,11 @@
 
     def _refusal(self, code: str, message: str) -> Response:
         pause_ms = max(
-            LEAST_RETRY_AFTER_MS,
-            RETRY_AFTER_SHARE * self._route.target_latency_ms,
-            self._parts.moving_ms(),
+            MIN_RETRY_AFTER_MS,
+            RETRY_AFTER_FRACTION * self._route.target_latency_ms,
+            self._dependencies.balancer_delay_ms(),
         )
-        return refused(code, message, pause_ms * self._parts.rng.uniform(0.8, 1.2))
+        return refused(code, message, pause_ms * self._dependencies.rng.uniform(0.8, 1.2))
 
     def _answer(self, answer: Response, why: str, missing: int = 0) -> None:
         if self._timer is not None:
@@ -237,38 +241,38 @@
         self._responder.answer(answer)
         if self._watch is not None:
             self._watch.close()
-        took_ms = self._around.timers.now_ms() - self._started_ms
-        self._parts.metrics.observe_latency(self._route.host, self._route.name, took_ms)
+        took_ms = self._context.timers.now_ms() - self._started_ms
+        self._dependencies.metrics.observe_latency(self._route.host, self._route.name, took_ms)
         succeeded = _is_success(answer.status)
         if not succeeded:
-            self._parts.metrics.count_refusal(why, took_ms)
+            self._dependencies.metrics.count_refusal(why, took_ms)
         elif self._route.shards is not None:
             share = 1.0 - missing / len(self._route.shards.services)
-            self._parts.metrics.observe_coverage(self._route.host, self._route.name, share)
+            self._dependencies.metrics.observe_coverage(self._route.host, self._route.name, share)
         if not succeeded or missing or took_ms > self._route.target_latency_ms:
             self._log(why, answer.status, missing)
-        elif self._parts.rng.random() * SAMPLED_ONE_IN < 1.0:
+        elif self._dependencies.rng.random() * SAMPLING_INTERVAL < 1.0:
             self._log("sampled", answer.status)
 
     def _log(self, why: str, status: int, missing: int = 0) -> None:
         if why == "sampled" or not (_is_success(status) or status == CALLER_GONE):
-            self._story.tell()
+            self._request_log.tell()
         elif missing:
-            self._story.tell(frozenset(self._missing))
+            self._request_log.tell(frozenset(self._missing))
         log_event(
             "request-ended",
-            request=self._asked.id,
-            fingerprint=self._asked.fingerprint,
+            request=self._request.id,
+            fingerprint=self._request.fingerprint,
             route=self._route.name,
             priority=self._route.priority,
             plan=self._plan.version,
-            plan_age_ms=round(self._parts.follower.age_ms()),
+            plan_age_ms=round(self._dependencies.follower.age_ms()),
             why=why,
             status=status,
             missing=missing,
-            without=",".join(self._missing[:MOST_NAMED_SHARDS]),
-            wait_ms=self._asked.wait_ms,
-            took_ms=round(self._around.timers.now_ms() - self._started_ms, 1),
+            without=",".join(self._missing[:MAX_LOGGED_SHARDS]),
+            wait_ms=self._request.wait_ms,
+            took_ms=round(self._context.timers.now_ms() - self._started_ms, 1),
         )
 
 
--- a/rhubarbhinge/gateway/_run_entry.py
+++ b/rhubarbhinge/gateway/_run_entry.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.gateway._live_settings import ReadSettings
 from rhubarbhinge.telemetry import EventLog, use_event_log
 
-COLLECT_AFTER = 20_000
+GC_THRESHOLD = 20_000
 """Objects made before garbage is looked for; most requests leave none, and at the library's 700 the
 looking takes a twentieth of the processor time."""
 
@@ -25,7 +25,7 @@
     use_event_log(event_log)
     entry = Entry(read_settings, dialect, make_source, event_log)
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER)
+    gc.set_threshold(GC_THRESHOLD)
     gc.enable()
     try:
         entry.run()
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_shard_delegation.py
@@ -13,19 +13,19 @@
 from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, Delegate, Delegates
 from rhubarbhinge.fleet import Fleet
 from rhubarbhinge.forward import CallerRequest, Surroundings
-from rhubarbhinge.gather import FarPart, FarSearch, GatherTerms, GrantAttempts
+from rhubarbhinge.gather import GatherTerms, GrantAttempts, PartialResult, ShardDelegation
 
-MOST_SHARDS = 15
+MAX_SHARDS_PER_ENTRY = 15
 """One entry asks so many shards of a search; more are split among others, so that neither processor
 nor link of one small VM takes most of a short latency objective."""
 
 
-def far_search(
+def shard_delegation(
     failure_domain: str,
     surroundings: Surroundings,
     delegates: Delegates,
     rng: random.Random,
-) -> FarSearch:
+) -> ShardDelegation:
     """Leave shards without a searcher in this failure domain to other entries, and split many.
 
     :param failure_domain: that of this entry.
@@ -36,21 +36,21 @@
     """
 
     def shards_for(
-        request: CallerRequest, terms: GatherTerms, served: Iterable[str]
+        request: CallerRequest, terms: GatherTerms, reachable: Iterable[str]
     ) -> dict[str, list[str]]:
-        served = list(served)
-        far = _far_domains(surroundings.fleet, failure_domain, served)
-        near = [service for service in served if service not in far]
+        reachable = list(reachable)
+        remote = _remote_domains(surroundings.fleet, failure_domain, reachable)
+        local = [service for service in reachable if service not in remote]
         by_address = {}
-        while far:
-            domain, services = _largest_group(far, rng)
+        while remote:
+            domain, services = _largest_group(remote, rng)
             for service in services:
-                del far[service]
-            addresses = delegates.choose(domain, _parts(services))
-            by_address.update(_split(services, addresses))
-        others = delegates.choose(failure_domain, _parts(near) - 1)
+                del remote[service]
+            addresses = delegates.choose(domain, _entry_count(services))
+            by_address.update(_split_evenly(services, addresses))
+        others = delegates.choose(failure_domain, _entry_count(local) - 1)
         # The first part stays here.
-        by_address.update(_split(near, ["", *others]))
+        by_address.update(_split_evenly(local, ["", *others]))
         by_address.pop("", None)
         return by_address
 
@@ -59,7 +59,7 @@
         request: CallerRequest,
         terms: GatherTerms,
         services: list[str],
-        on_part: Callable[[FarPart | None], None],
+        on_part: Callable[[PartialResult | None], None],
         grant: GrantAttempts,
     ) -> Delegate:
         now_ms = surroundings.timers.now_ms()
@@ -77,14 +77,18 @@
             answer_in_ms=max(0.0, terms.answer_by_ms - now_ms - ANSWER_MARGIN_MS),
             left_ms=max(0.0, terms.call.deadline_ms - now_ms),
         )
-        return delegates.ask(address, message, lambda answer: on_part(_part(answer)), grant)
+        return delegates.ask(
+            address, message, lambda answer: on_part(_partial_result(answer)), grant
+        )
 
-    return FarSearch(shards_for, ask)
+    return ShardDelegation(shards_for, ask)
 
 
-def _far_domains(fleet: Fleet, failure_domain: str, services: Iterable[str]) -> dict[str, set[str]]:
+def _remote_domains(
+    fleet: Fleet, failure_domain: str, services: Iterable[str]
+) -> dict[str, set[str]]:
     """Give the domains of the searchers of those services that have none in this domain."""
-    far = {}
+    remote = {}
     for service in services:
         domains = {
             one.searcher.failure_domain
@@ -92,35 +96,35 @@
             if one.usable and not one.is_down
         }
         if failure_domain not in domains:
-            far[service] = domains
-    return far
+            remote[service] = domains
+    return remote
 
 
-def _largest_group(far: dict[str, set[str]], rng: random.Random) -> tuple[str, list[str]]:
+def _largest_group(remote: dict[str, set[str]], rng: random.Random) -> tuple[str, list[str]]:
     """Choose the domain that has searchers of most services, one at random among equals."""
-    counts = Counter(domain for domains in far.values() for domain in domains)
+    counts = Counter(domain for domains in remote.values() for domain in domains)
     domain = max(counts, key=lambda name: (counts[name], rng.random()))
-    return domain, [service for service, domains in far.items() if domain in domains]
+    return domain, [service for service, domains in remote.items() if domain in domains]
 
 
-def _parts(services: list[str]) -> int:
+def _entry_count(services: list[str]) -> int:
     """Tell among how many entries shards are split."""
-    return max(1, math.ceil(len(services) / MOST_SHARDS))
+    return max(1, math.ceil(len(services) / MAX_SHARDS_PER_ENTRY))
 
 
-def _split(services: list[str], addresses: list[str]) -> dict[str, list[str]]:
+def _split_evenly(services: list[str], addresses: list[str]) -> dict[str, list[str]]:
     """Split shards evenly among addresses."""
     return {
-        address: services[place :: len(addresses)]
-        for place, address in enumerate(addresses)
-        if services[place :: len(addresses)]
+        address: services[index :: len(addresses)]
+        for index, address in enumerate(addresses)
+        if services[index :: len(addresses)]
     }
 
 
-def _part(answer: Answer | None) -> FarPart | None:
+def _partial_result(answer: Answer | None) -> PartialResult | None:
     if answer is None:
         return None
-    return FarPart(
+    return PartialResult(
         answer.services,
         answer.signatures,
         answer.untried,
--- a/rhubarbhinge/gateway/_shutdown.py
+++ b/rhubarbhinge/gateway/_shutdown.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.web import HttpServer
 
-UNREADY_MS = 3_200.0
+MIN_SHUTDOWN_MS = 3_200.0
 """A stopping entry goes on this long: the balancer needs two misses, a second apart, to notice."""
 STOP_MARGIN_MS = 500.0
 """A stopping entry ends this much before it would be killed."""
@@ -35,8 +35,8 @@
         self._callers = callers
         self._asks = asks
         self._end = end
-        self._end_by_ms = 0.0
-        self._quiet_at_ms = 0.0
+        self._latest_end_ms = 0.0
+        self._earliest_end_ms = 0.0
 
     def begin(self, grace_ms: float) -> None:
         """Close idle connections, answer what comes, then end.
@@ -44,19 +44,19 @@
         :param grace_ms: time until the process would be killed.
         """
         now_ms = self._timers.now_ms()
-        left_ms = grace_ms - STOP_MARGIN_MS
-        self._end_by_ms = now_ms + left_ms
-        self._quiet_at_ms = now_ms + min(UNREADY_MS, left_ms)
+        available_ms = grace_ms - STOP_MARGIN_MS
+        self._latest_end_ms = now_ms + available_ms
+        self._earliest_end_ms = now_ms + min(MIN_SHUTDOWN_MS, available_ms)
         log_event("stop-started", open_requests=self._callers.open_requests)
         self._callers.begin_closing()
-        self._timers.every(STOP_POLL_MS, self._look)
+        self._timers.every(STOP_POLL_MS, self._poll)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         now_ms = self._timers.now_ms()
-        late = now_ms >= self._end_by_ms
+        late = now_ms >= self._latest_end_ms
         open_work = self._callers.open_requests + self._asks.open_asks
         unsent_bytes = self._callers.unsent_bytes + self._asks.unsent_bytes
         answered = open_work == 0 and unsent_bytes == 0
-        if late or (answered and now_ms >= self._quiet_at_ms):
+        if late or (answered and now_ms >= self._earliest_end_ms):
             log_event("stopped", open_requests=self._callers.open_requests, late=late)
             self._end()
--- a/rhubarbhinge/gateway/_split.py
+++ b/rhubarbhinge/gateway/_split.py
@@ -11,7 +11,7 @@
     """
 
     def __init__(self) -> None:
-        self._claims: dict[str, dict[str, float]] = {}
+        self._current_weights: dict[str, dict[str, float]] = {}
 
     def next(self, route: Route) -> str:
         """Choose the service of the next request.
@@ -21,21 +21,21 @@
         """
         if len(route.services) == 1:
             return route.services[0].name
-        claims = self._claims.setdefault(route.name, {})
+        current_weights = self._current_weights.setdefault(route.name, {})
         weights = {part.name: part.weight for part in route.services}
-        if claims.keys() != weights.keys():
-            claims.clear()
-            claims.update(dict.fromkeys(weights, 0.0))
+        if current_weights.keys() != weights.keys():
+            current_weights.clear()
+            current_weights.update(dict.fromkeys(weights, 0.0))
         for name, weight in weights.items():
-            claims[name] += weight
-        chosen = max(claims, key=claims.__getitem__)
-        claims[chosen] -= sum(weights.values())
+            current_weights[name] += weight
+        chosen = max(current_weights, key=current_weights.__getitem__)
+        current_weights[chosen] -= sum(weights.values())
         return chosen
 
-    def keep(self, route_names: set[str]) -> None:
+    def retain(self, route_names: set[str]) -> None:
         """Forget routes that are no longer served.
 
         :param route_names: those that are.
         """
-        for name in self._claims.keys() - route_names:
-            del self._claims[name]
+        for name in self._current_weights.keys() - route_names:
+            del self._current_weights[name]
--- a/rhubarbhinge/gateway/_cold_shares.py
+++ b/rhubarbhinge/gateway/_warmup_limiter.py
@@ -8,16 +8,16 @@
 from rhubarbhinge.published import Follower
 from rhubarbhinge.utils import rendezvous
 
-TOLD_LATE_MS = 2_500.0
+REPORT_DELAY_MS = 2_500.0
 """What a searcher publishes of itself is known here within this time: two heartbeats of it, and
 the watch of an entry that follows another one."""
-JOINED_MS = 6_000.0
+JOIN_SETTLE_MS = 6_000.0
 """A process that has just started, or was held up, sends nothing to cold searchers of a limited
 rate for so long. By then it has heard of the others and they of it, also when the first lists of
 entries were exchanged too early: several heartbeats and another exchange of lists."""
 
 
-class ColdShares:
+class WarmupLimiter:
     """Shares the rate of a cold searcher among the processes that may be sending to it.
 
     A searcher that gets far more than the rate of its service while it is cold ends. Nothing counts
@@ -47,12 +47,12 @@
         self._membership = membership
         self._rule = rule
         self._now_ms = now_ms
-        self._joined_at_ms = 0.0
+        self._settled_at_ms = 0.0
         self.on_pause()
 
     def on_pause(self) -> None:
         """Send nothing to cold searchers for a while, as others may have joined meanwhile."""
-        self._joined_at_ms = self._now_ms() + JOINED_MS
+        self._settled_at_ms = self._now_ms() + JOIN_SETTLE_MS
 
     def may_send(self, observed: ObservedSearcher, now_ms: float) -> bool:
         """Tell whether a searcher may get a request now.
@@ -67,12 +67,12 @@
         service = plan.services.get(observed.searcher.service) if plan else None
         if service is None or not service.warmup_per_s or not _is_cold(observed, service, now_ms):
             return True
-        if now_ms < self._joined_at_ms:
+        if now_ms < self._settled_at_ms:
             return False
-        share = self._share(observed, self._rule().most_requests(service.warmup_per_s))
-        return observed.cold_sends(now_ms).has_room(share, now_ms)
+        own_limit = self._own_limit(observed, self._rule().most_requests(service.warmup_per_s))
+        return observed.cold_sends(now_ms).has_room(own_limit, now_ms)
 
-    def _share(self, observed: ObservedSearcher, most: int) -> int:
+    def _own_limit(self, observed: ObservedSearcher, limit: int) -> int:
         membership = self._membership
         domain = observed.searcher.failure_domain
         names = membership.may_be_sending(domain) or membership.may_be_sending()
@@ -80,13 +80,13 @@
         if me not in names or not membership.hears_others:
             # One that hears nobody does not know among how many it would share.
             return 0
-        if len(names) <= most:
-            return most // len(names)
+        if len(names) <= limit:
+            return limit // len(names)
         incarnation = observed.searcher.incarnation
         ranked = sorted(names, key=lambda name: rendezvous.score(incarnation, name), reverse=True)
-        return 1 if ranked.index(me) < most else 0
+        return 1 if ranked.index(me) < limit else 0
 
 
 def _is_cold(observed: ObservedSearcher, service: Service, now_ms: float) -> bool:
-    told_by_ms = observed.returned_ms + service.warmup_ms + TOLD_LATE_MS
-    return now_ms < max(observed.warm_at_ms, told_by_ms)
+    reported_by_ms = observed.returned_ms + service.warmup_ms + REPORT_DELAY_MS
+    return now_ms < max(observed.warm_at_ms, reported_by_ms)
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -25,15 +25,15 @@
     Surroundings,
     Why,
 )
-from rhubarbhinge.gateway import _far_search
+from rhubarbhinge.gateway import _shard_delegation
 from rhubarbhinge.gateway._call_terms import ask_terms, call_terms
 from rhubarbhinge.gateway.tests.simulated_links import (
+    FaultRates,
     HostTimers,
     Network,
     SimulatedLinks,
-    Troubles,
 )
-from rhubarbhinge.gather import Gathered, Gathering, GatherTerms, NotEnough
+from rhubarbhinge.gather import Gathered, GatherTerms, ScatterGather, TooFewShards
 from rhubarbhinge.members import Member
 from rhubarbhinge.plans import ShardSet
 from rhubarbhinge.retries import BudgetRule, RetryBudget
@@ -43,7 +43,7 @@
 PORT = 7_000
 TARGET_MS = 180.0
 WAIT_MS = 1_000.0
-SHARDS_AN_ENTRY = 2
+SHARDS_PER_ENTRY = 2
 """So few in place of 30, so that a search of some shards is split among several entries."""
 DOMAINS = ("hall-a", "hall-b", "hall-c")
 ENTRIES = {"a-1": "hall-a", "a-2": "hall-a", "b-1": "hall-b", "b-2": "hall-b", "c-1": "hall-c"}
@@ -58,17 +58,17 @@
     :param tell: told the outcome.
     """
 
-    def __init__(self, searchers: "Searchers", timers: HostTimers, exchange: Exchange, tell):
+    def __init__(self, searchers: "Searchers", timers: HostTimers, exchange: Exchange, on_outcome):
         self._searchers = searchers
         self._timers = timers
         self._exchange = exchange
-        self._tell = tell
+        self._on_outcome = on_outcome
         self._over = False
         self.sent = False
-        rng, troubles = searchers.rng, searchers.troubles
-        if rng.random() < troubles.unreachable:
+        rng, faults = searchers.rng, searchers.faults
+        if rng.random() < faults.unreachable:
             timers.after(rng.choice((0.0, 5.0, 350.0)), lambda: self._end(NotRun(Why.UNREACHABLE)))
-        elif rng.random() < troubles.queued:
+        elif rng.random() < faults.queued:
             timers.after(rng.uniform(1.0, 200.0), self._write)
         else:
             self._write()
@@ -77,24 +77,24 @@
         if self._over:
             return
         self.sent = True
-        rng, troubles = self._searchers.rng, self._searchers.troubles
+        rng, faults = self._searchers.rng, self._searchers.faults
         # What was written may arrive although it is cancelled meanwhile.
-        refused = rng.random() < troubles.refuse
+        refused = rng.random() < faults.refuse
         if not refused:
             self._searchers.run(self._exchange)
         delay_ms = rng.uniform(2.0, 250.0)
-        outcome = NotRun(Why.NO_ROOM) if refused else self._run_outcome(rng, troubles)
+        outcome = NotRun(Why.NO_ROOM) if refused else self._run_outcome(rng, faults)
         if outcome is not None:
             self._timers.after(delay_ms, lambda: self._end(outcome))
 
-    def _run_outcome(self, rng: random.Random, troubles: Troubles) -> Outcome | None:
+    def _run_outcome(self, rng: random.Random, faults: FaultRates) -> Outcome | None:
         drawn = rng.random()
-        if drawn < troubles.hang:
+        if drawn < faults.hang:
             return None
         drawn = rng.random()
-        if drawn < troubles.lose:
+        if drawn < faults.drop_reply:
             return Lost(Why.BROKEN)
-        status = 500 if rng.random() < troubles.fail else 200
+        status = 500 if rng.random() < faults.fail else 200
         signature = f"sig-{self._exchange.searcher.searcher.incarnation}"
         request_id = self._exchange.request.id
         reply = SearcherReply(status, (), b"r" * 16, request_id, signature, False, False, None)
@@ -103,7 +103,7 @@
     def _end(self, outcome: Outcome) -> None:
         if not self._over:
             self._over = True
-            self._tell(outcome)
+            self._on_outcome(outcome)
 
     def cancel(self) -> None:
         self._over = True
@@ -116,9 +116,9 @@
     :param troubles: how often what goes wrong.
     """
 
-    def __init__(self, rng: random.Random, troubles: Troubles):
+    def __init__(self, rng: random.Random, faults: FaultRates):
         self.rng = rng
-        self.troubles = troubles
+        self.faults = faults
         self.ran: dict[tuple[str, str], set[str]] = defaultdict(set)
 
     def run(self, exchange: Exchange) -> None:
@@ -126,7 +126,7 @@
         self.ran[exchange.request.id, searcher.service].add(searcher.incarnation)
 
 
-class NamedMembers:
+class StaticMembers:
     """The entries that there are, which never change.
 
     :param name: this one's.
@@ -150,53 +150,55 @@
     :param name: its name.
     """
 
-    def __init__(self, world: "World", name: str):
-        self.timers = HostTimers(world.timers)
-        self.world = world
+    def __init__(self, simulation: "SearchSimulation", name: str):
+        self.timers = HostTimers(simulation.timers)
+        self.simulation = simulation
         self.delays = Delays(20.0)
         domain = ENTRIES[name]
-        rng = random.Random(world.rng.getrandbits(32))
+        rng = random.Random(simulation.rng.getrandbits(32))
         fleet = Fleet(self.timers.now_ms, lambda observed: None)
-        for searcher in world.published:
+        for searcher in simulation.published:
             fleet.put(searcher)
         budget = RetryBudget(BudgetRule(0.2, 100.0, 10_000.0), self.timers.now_ms, lambda: 1)
-        self.around = Surroundings(
+        self.context = Surroundings(
             self.timers,
             fleet,
             expected_cost(domain, rng),
             budget,
-            lambda exchange, tell: self._far_sends.send(exchange, tell),
+            lambda exchange, on_outcome: self._far_sends.send(exchange, on_outcome),
             Metrics(),
         )
 
         def links(*arguments: object, **more: object) -> SimulatedLinks:
-            return SimulatedLinks(world.network, name, self.timers, *arguments, **more)
+            return SimulatedLinks(simulation.network, name, self.timers, *arguments, **more)
 
         reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
         with (
             mock.patch.object(_delegates, "Links", links),
             mock.patch.object(_serving, "Links", links),
         ):
-            self.delegates = Delegates(self.timers, NamedMembers(name), PORT, rng, reach)
+            self.delegates = Delegates(self.timers, StaticMembers(name), PORT, rng, reach)
             self.asks = AskServer(
                 self.timers,
-                self.around,
+                self.context,
                 self._ask_terms,
                 lambda route, target_ms: self.delays,
                 (name, PORT),
             )
         self._far_sends = FarSends(self.timers, self.delegates, domain, self._send)
-        self.far = _far_search.far_search(domain, self.around, self.delegates, rng)
+        self.delegation = _shard_delegation.shard_delegation(
+            domain, self.context, self.delegates, rng
+        )
 
-    def _send(self, exchange: Exchange, tell: Callable[[Outcome], None]) -> SimulatedAttempt:
-        return SimulatedAttempt(self.world.searchers, self.timers, exchange, tell)
+    def _send(self, exchange: Exchange, on_outcome: Callable[[Outcome], None]) -> SimulatedAttempt:
+        return SimulatedAttempt(self.simulation.searchers, self.timers, exchange, on_outcome)
 
     def _ask_terms(self, ask: Ask, delays: Delays) -> CallTerms:
         return ask_terms(ask, delays, self.timers.now_ms())
 
     def search(
         self, request_id: str, shards: ShardSet, max_attempts: int, on_end: Callable
-    ) -> Gathering:
+    ) -> ScatterGather:
         """Start a caller's search."""
         now_ms = self.timers.now_ms()
         terms = GatherTerms(
@@ -218,20 +220,20 @@
             ),
         )
         request = CallerRequest(request_id, b"GET /x HTTP/1.1\r\n", b"", WAIT_MS)
-        gathering = Gathering(
-            self.around,
+        search = ScatterGather(
+            self.context,
             request,
             terms,
             self.delays,
-            self.far,
+            self.delegation,
             on_end,
             Story(request_id, self.timers.now_ms),
         )
-        gathering.start()
-        return gathering
+        search.start()
+        return search
 
 
-class World:
+class SearchSimulation:
     """Entries and searchers under one drawn set of troubles.
 
     :param seed: draws everything.
@@ -242,9 +244,9 @@
     def __init__(self, seed: int):
         self.rng = random.Random(seed)
         self.timers = FakeTimers()
-        self.troubles = Troubles(self.rng)
-        self.network = Network(self.timers, self.rng, self.troubles)
-        self.searchers = Searchers(self.rng, self.troubles)
+        self.faults = FaultRates(self.rng)
+        self.network = Network(self.timers, self.rng, self.faults)
+        self.searchers = Searchers(self.rng, self.faults)
         self.shards = ShardSet(tuple(f"s{n}" for n in range(6)), 2, 0.8)
         self.max_attempts = self.rng.choice((1, 2, 2, 3))
         self.published = [
@@ -253,30 +255,30 @@
             for place in range(self.rng.choice((2, 3, 4)))
         ]
         self.entries = {name: self.entry_type(self, name) for name in ENTRIES}
-        self.ends: list[Gathered | NotEnough] = []
+        self.results: list[Gathered | TooFewShards] = []
 
-    def play(self, searches: int = 6) -> None:
+    def run(self, searches: int = 6) -> None:
         """Have searches come at several entries, some given up by their callers."""
         for entry in self.entries.values():
             for domain in DOMAINS:
                 entry.delegates.choose(domain, 2)
         self.timers.advance(10.0)
         for number in range(searches):
-            self._pause_some()
+            self._pause_entries()
             entry = self.entries[self.rng.choice(list(ENTRIES))]
-            gathering = entry.search(f"r{number}", self.shards, self.max_attempts, self.ends.append)
-            entry.timers.after(WAIT_MS, gathering.time_out)
+            search = entry.search(f"r{number}", self.shards, self.max_attempts, self.results.append)
+            entry.timers.after(WAIT_MS, search.time_out)
             if self.rng.random() < 0.2:
-                self.timers.after(self.rng.uniform(1.0, 200.0), gathering.cancel)
+                self.timers.after(self.rng.uniform(1.0, 200.0), search.cancel)
             self.timers.advance(self.rng.choice((5.0, 60.0, 300.0)))
         self.timers.advance(3 * WAIT_MS)
 
-    def _pause_some(self) -> None:
+    def _pause_entries(self) -> None:
         for entry in self.entries.values():
-            if self.rng.random() < self.troubles.pause:
+            if self.rng.random() < self.faults.pause:
                 entry.timers.paused_until_ms = self.timers.now_ms() + self.rng.uniform(20.0, 400.0)
 
-    def most_searchers(self) -> int:
+    def max_searchers(self) -> int:
         """Tell at how many searchers of one shard one request ran at most."""
         return max((len(names) for names in self.searchers.ran.values()), default=0)
 
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -17,51 +17,51 @@
     ENTRIES,
     TARGET_MS,
     WAIT_MS,
-    NamedMembers,
     Searchers,
+    SearchSimulation,
     SimulatedAttempt,
     SimulatedEntry,
-    World,
+    StaticMembers,
 )
-from rhubarbhinge.gather import Gathered, Gathering, GatherTerms, NotEnough
+from rhubarbhinge.gather import Gathered, GatherTerms, ScatterGather, TooFewShards
 from rhubarbhinge.members import Member
 from rhubarbhinge.peers import QuarantineNews
 from rhubarbhinge.quarantine import ONE_FIRST, Quarantine, Quarantined
 
 FATAL = "f" * 32
 FATAL_HEAD = b"GET /fatal HTTP/1.1\r\n"
-BACK_AFTER_MS = 3_000.0
+RESTART_MS = 3_000.0
 HEARTBEAT_MS = 1_000.0
-IN_TOUCH_MS = 4_000.0
+SETTLE_MS = 4_000.0
 """An entry counts as in touch so long after its start or a pause."""
-ENDS = 3
+MIN_ENDED_SEARCHERS = 3
 """The rule counts from when so many searchers have ended."""
 
 
-class Table:
+class StaticMemberTable:
     """The failure domains that there are."""
 
     def domains(self) -> set[str]:
         return set(ENTRIES.values())
 
 
-class ToldMembers(NamedMembers):
+class GossipMembers(StaticMembers):
     """The entries that there are, and datagrams to them.
 
     :param world: what all entries are in.
     :param name: this one's.
     """
 
-    def __init__(self, world: "FatalWorld", name: str):
+    def __init__(self, simulation: "FatalRequestSimulation", name: str):
         super().__init__(name)
-        self._world = world
-        self.table = Table()
+        self._simulation = simulation
+        self.table = StaticMemberTable()
 
     def all_live(self) -> list[Member]:
         return self._others
 
     def send_to(self, ip: str) -> None:
-        self._world.carry(self.me.name, ip)
+        self._simulation.send_gossip(self.me.name, ip)
 
 
 class FatalSearchers(Searchers):
@@ -70,9 +70,9 @@
     :param world: what all entries are in.
     """
 
-    def __init__(self, world: "FatalWorld"):
-        super().__init__(world.rng, world.troubles)
-        self.world = world
+    def __init__(self, simulation: "FatalRequestSimulation"):
+        super().__init__(simulation.rng, simulation.faults)
+        self.simulation = simulation
         self.down: set[str] = set()
         self.ends_ms: list[float] = []
         self.arrived: dict[str, list[tuple[float, str]]] = defaultdict(list)
@@ -80,7 +80,7 @@
     def run(self, exchange: Exchange) -> None:
         super().run(exchange)
         if exchange.request.head == FATAL_HEAD:
-            at_ms = self.world.timers.now_ms()
+            at_ms = self.simulation.timers.now_ms()
             name = exchange.searcher.searcher.incarnation
             self.arrived[exchange.request.id].append((at_ms, name))
 
@@ -89,12 +89,12 @@
         if name in self.down:
             return
         self.down.add(name)
-        self.ends_ms.append(self.world.timers.now_ms())
-        self.world.timers.after(BACK_AFTER_MS, lambda: self._start_again(name))
+        self.ends_ms.append(self.simulation.timers.now_ms())
+        self.simulation.timers.after(RESTART_MS, lambda: self._restart(name))
 
-    def _start_again(self, name: str) -> None:
+    def _restart(self, name: str) -> None:
         self.down.discard(name)
-        self.world.publish(name)
+        self.simulation.publish(name)
 
 
 class FatalAttempt(SimulatedAttempt):
@@ -113,35 +113,37 @@
         self.sent = True
         searchers.run(self._exchange)
         ends_ms = searchers.rng.uniform(2.0, 60.0)
-        searchers.world.timers.after(ends_ms, lambda: searchers.end(searcher))
+        searchers.simulation.timers.after(ends_ms, lambda: searchers.end(searcher))
         self._timers.after(ends_ms + 2.0, lambda: self._end(Lost(Why.BROKEN, True)))
 
 
 class FatalEntry(SimulatedEntry):
     """One entry with what it knows of fatal requests."""
 
-    def __init__(self, world: "FatalWorld", name: str):
-        super().__init__(world, name)
+    def __init__(self, simulation: "FatalRequestSimulation", name: str):
+        super().__init__(simulation, name)
         self.name = name
-        self.touched_ms = world.timers.now_ms()
-        rng = random.Random(world.rng.getrandbits(32))
+        self.last_disruption_ms = simulation.timers.now_ms()
+        rng = random.Random(simulation.rng.getrandbits(32))
         self.quarantine = Quarantine(
             self.timers.now_ms,
             lambda fingerprint: self.news.may_try(fingerprint),
             lambda: self.news.tell(),
             rng,
         )
-        self.news = QuarantineNews(self.timers, ToldMembers(world, name), self.quarantine, rng)
-        self.timers.after(world.rng.uniform(0.0, HEARTBEAT_MS), self._beat)
+        self.news = QuarantineNews(
+            self.timers, GossipMembers(simulation, name), self.quarantine, rng
+        )
+        self.timers.after(simulation.rng.uniform(0.0, HEARTBEAT_MS), self._send_heartbeat)
 
-    def _send(self, exchange, tell) -> FatalAttempt:
-        return FatalAttempt(self.world.searchers, self.timers, exchange, tell)
+    def _send(self, exchange, on_outcome) -> FatalAttempt:
+        return FatalAttempt(self.simulation.searchers, self.timers, exchange, on_outcome)
 
-    def _beat(self) -> None:
-        self.timers.after(HEARTBEAT_MS, self._beat)
+    def _send_heartbeat(self) -> None:
+        self.timers.after(HEARTBEAT_MS, self._send_heartbeat)
         others = [name for name in ENTRIES if name != self.name]
-        for name in self.world.rng.sample(others, 2):
-            self.world.carry(self.name, name)
+        for name in self.simulation.rng.sample(others, 2):
+            self.simulation.send_gossip(self.name, name)
 
     def take(self, request_id: str, fatal: bool, on_end) -> None:
         """Take a caller's request, as the gateway does."""
@@ -152,49 +154,51 @@
             return
         over = []
 
-        def ended(result: Gathered | NotEnough) -> None:
+        def ended(result: Gathered | TooFewShards) -> None:
             over.append(True)
             watch.close()
             on_end(result)
 
         def stopped() -> None:
-            gathering.cancel()
-            ended(NotEnough((), True))
+            search.cancel()
+            ended(TooFewShards((), True))
 
         watch = self.quarantine.watch(fingerprint, "route", verdict == ONE_FIRST, stopped)
-        gathering = self._gathering(request_id, fatal, watch, ended)
-        gathering.start()
-        self.timers.after(WAIT_MS, lambda: over or gathering.time_out())
+        search = self._start_search(request_id, fatal, watch, ended)
+        search.start()
+        self.timers.after(WAIT_MS, lambda: over or search.time_out())
 
-    def _gathering(self, request_id: str, fatal: bool, watch, on_end) -> Gathering:
-        now_ms, world = self.timers.now_ms(), self.world
+    def _start_search(self, request_id: str, fatal: bool, watch, on_end) -> ScatterGather:
+        now_ms, simulation = self.timers.now_ms(), self.simulation
         due_ms = now_ms + 0.9 * TARGET_MS
         call = call_terms(
             "route",
             TARGET_MS,
             True,
-            world.max_attempts,
+            simulation.max_attempts,
             1,
             now_ms,
             now_ms + WAIT_MS,
             self.delays,
             due_ms,
-            world.shards.top_k,
+            simulation.shards.top_k,
+        )
+        terms = GatherTerms(
+            "route", simulation.shards, TARGET_MS, due_ms, replace(call, control=watch)
         )
-        terms = GatherTerms("route", world.shards, TARGET_MS, due_ms, replace(call, control=watch))
         head = FATAL_HEAD if fatal else b"GET /x HTTP/1.1\r\n"
-        return Gathering(
-            self.around,
+        return ScatterGather(
+            self.context,
             CallerRequest(request_id, head, b"", WAIT_MS),
             terms,
             self.delays,
-            self.far,
+            self.delegation,
             on_end,
             Story(request_id, self.timers.now_ms),
         )
 
 
-class FatalWorld(World):
+class FatalRequestSimulation(SearchSimulation):
     """Entries, their searchers, and one caller who sends the same fatal request again and again.
 
     :param seed: draws everything.
@@ -207,9 +211,9 @@
         self.searchers = FatalSearchers(self)
         self.datagram_loss = self.rng.choice((0.0, 0.05, 0.3))
         self.attempts: list[tuple[float, str, bool]] = []
-        self.good: list[bool] = []
+        self.good_results: list[bool] = []
 
-    def carry(self, sender: str, receiver: str) -> None:
+    def send_gossip(self, sender: str, receiver: str) -> None:
         """Carry what one entry knows to another one, as a heartbeat does."""
         if self.rng.random() < self.datagram_loss:
             return
@@ -228,55 +232,55 @@
         new = replace(old, started_unix_ms=int(self.timers.now_ms()))
         self.published[self.published.index(old)] = new
         for entry in self.entries.values():
-            entry.around.fleet.put(new)
+            entry.context.fleet.put(new)
 
-    def play_fatal(self, seconds: int) -> None:
+    def run_fatal(self, seconds: int) -> None:
         """Have the fatal request come some times a second, and good ones beside it."""
         for entry in self.entries.values():
             for domain in set(ENTRIES.values()):
                 entry.delegates.choose(domain, 2)
-        self.timers.advance(2 * IN_TOUCH_MS)
+        self.timers.advance(2 * SETTLE_MS)
         for second in range(seconds):
             for place in range(4):
-                self._one(f"fatal-{second}-{place}", fatal=self.rng.random() < 0.5)
+                self._send_request(f"fatal-{second}-{place}", fatal=self.rng.random() < 0.5)
                 self.timers.advance(self.rng.uniform(50.0, 450.0))
-            self._trouble()
+            self._pause_an_entry()
         self.timers.advance(3 * WAIT_MS)
 
-    def _one(self, request_id: str, fatal: bool, retries: int = 1) -> None:
+    def _send_request(self, request_id: str, fatal: bool, retries: int = 1) -> None:
         entry = self.entries[self.rng.choice(list(ENTRIES))]
         now_ms = self.timers.now_ms()
-        in_touch = now_ms - entry.touched_ms > IN_TOUCH_MS
+        settled = now_ms - entry.last_disruption_ms > SETTLE_MS
         if fatal:
-            self.attempts.append((now_ms, request_id, in_touch))
+            self.attempts.append((now_ms, request_id, settled))
 
-        def ended(result: Gathered | NotEnough | None) -> None:
+        def ended(result: Gathered | TooFewShards | None) -> None:
             if not fatal:
-                self.good.append(isinstance(result, Gathered))
+                self.good_results.append(isinstance(result, Gathered))
             elif result is not None and retries:
-                self._one(f"{request_id}-again", fatal, retries - 1)
+                self._send_request(f"{request_id}-again", fatal, retries - 1)
 
         entry.take(request_id, fatal, ended)
 
-    def _trouble(self) -> None:
+    def _pause_an_entry(self) -> None:
         drawn, name = self.rng.random(), self.rng.choice(list(ENTRIES))
         entry = self.entries[name]
         now_ms = self.timers.now_ms()
-        if drawn < self.troubles.pause:
+        if drawn < self.faults.pause:
             until_ms = now_ms + self.rng.uniform(20.0, 7_000.0)
             # A shorter pause than the one it is in would let what comes later overtake.
             until_ms = max(until_ms, entry.timers.paused_until_ms)
-            entry.timers.paused_until_ms = entry.touched_ms = until_ms
+            entry.timers.paused_until_ms = entry.last_disruption_ms = until_ms
 
     def late_attempts(self) -> set[str]:
         """Give the attempts that reached searchers later than the rule's bound, from entries in
         touch."""
         ends_ms = sorted(self.searchers.ends_ms)
-        if len(ends_ms) < ENDS:
+        if len(ends_ms) < MIN_ENDED_SEARCHERS:
             return set()
-        since_ms = ends_ms[ENDS - 1] + IN_TOUCH_MS
+        since_ms = ends_ms[MIN_ENDED_SEARCHERS - 1] + SETTLE_MS
         return {
             request_id
-            for at_ms, request_id, in_touch in self.attempts
-            if in_touch and at_ms > since_ms and self.searchers.arrived.get(request_id)
+            for at_ms, request_id, settled in self.attempts
+            if settled and at_ms > since_ms and self.searchers.arrived.get(request_id)
         }
--- a/rhubarbhinge/gateway/tests/simulated_links.py
+++ b/rhubarbhinge/gateway/tests/simulated_links.py
@@ -9,31 +9,31 @@
 from rhubarbhinge.timing import Subscription
 from rhubarbhinge.utils.fake_timers import FakeTimers
 
-LEAST_NET_MS, MOST_NET_MS = 0.2, 3.0
+MIN_DELAY_MS, MAX_DELAY_MS = 0.2, 3.0
 SILENCE_MS = 400.0
 """Silence after which a link's end is told, as on real sockets."""
 
 
-class Troubles:
+class FaultRates:
     """How often what goes wrong.
 
     :param rng: draws them.
     """
 
     def __init__(self, rng: random.Random):
-        def often(*shares: float) -> float:
+        def choose(*shares: float) -> float:
             return rng.choice(shares)
 
-        self.slow_message = often(0.0, 0.05, 0.3)
-        self.cut = often(0.0, 0.02, 0.1)
-        self.reset = often(0.0, 0.02, 0.1)
-        self.pause = often(0.0, 0.02, 0.1)
-        self.refuse = often(0.0, 0.2, 0.6)
-        self.fail = often(0.0, 0.1, 0.4)
-        self.lose = often(0.0, 0.1, 0.4)
-        self.hang = often(0.0, 0.1, 0.4)
-        self.unreachable = often(0.0, 0.05, 0.3)
-        self.queued = often(0.0, 0.2, 0.6)
+        self.slow_message = choose(0.0, 0.05, 0.3)
+        self.cut = choose(0.0, 0.02, 0.1)
+        self.reset = choose(0.0, 0.02, 0.1)
+        self.pause = choose(0.0, 0.02, 0.1)
+        self.refuse = choose(0.0, 0.2, 0.6)
+        self.fail = choose(0.0, 0.1, 0.4)
+        self.drop_reply = choose(0.0, 0.1, 0.4)
+        self.hang = choose(0.0, 0.1, 0.4)
+        self.unreachable = choose(0.0, 0.05, 0.3)
+        self.queued = choose(0.0, 0.2, 0.6)
 
 
 class HostTimers:
@@ -46,7 +46,7 @@
         self._timers = timers
         self.paused_until_ms = 0.0
         self.now_ms = timers.now_ms
-        self._held: deque[Subscription] = deque()
+        self._deferred: deque[Subscription] = deque()
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Subscription:
         subscription = Subscription(callback, None, lambda: None)
@@ -57,11 +57,11 @@
         if not subscription.active:
             return
         left_ms = self.paused_until_ms - self.now_ms()
-        if self._held or left_ms > 0:
+        if self._deferred or left_ms > 0:
             # What comes in a pause is taken in its order when the pause is over.
-            if not self._held:
+            if not self._deferred:
                 self._timers.after(left_ms, self._resume)
-            self._held.append(subscription)
+            self._deferred.append(subscription)
             return
         subscription.active = False
         subscription.callback()
@@ -71,8 +71,8 @@
         if left_ms > 0:
             self._timers.after(left_ms, self._resume)
             return
-        while self._held:
-            subscription = self._held.popleft()
+        while self._deferred:
+            subscription = self._deferred.popleft()
             if subscription.active:
                 subscription.active = False
                 subscription.callback()
@@ -81,12 +81,12 @@
 class _Connection:
     """One connection between two entries."""
 
-    def __init__(self, ends: tuple["_End", "_End"]):
-        self.ends = ends
+    def __init__(self, results: tuple["_End", "_End"]):
+        self.results = results
         self.is_open = True
-        self.cut_from: set[_End] = set()
-        self.free_ms = dict.fromkeys(ends, 0.0)
-        self.waiting: dict[_End, deque[bytes]] = {end: deque() for end in ends}
+        self.severed_from: set[_End] = set()
+        self.next_arrival_ms = dict.fromkeys(results, 0.0)
+        self.in_transit: dict[_End, deque[bytes]] = {end: deque() for end in results}
 
 
 class _End:
@@ -105,36 +105,36 @@
     :param troubles: how often what goes wrong.
     """
 
-    def __init__(self, timers: FakeTimers, rng: random.Random, troubles: Troubles):
+    def __init__(self, timers: FakeTimers, rng: random.Random, faults: FaultRates):
         self.timers = timers
         self.rng = rng
-        self.troubles = troubles
+        self.faults = faults
         self.servers: dict[str, SimulatedLinks] = {}
 
     def delay_ms(self) -> float:
-        if self.rng.random() < self.troubles.slow_message:
+        if self.rng.random() < self.faults.slow_message:
             return self.rng.uniform(20.0, 400.0)
-        return self.rng.uniform(LEAST_NET_MS, MOST_NET_MS)
+        return self.rng.uniform(MIN_DELAY_MS, MAX_DELAY_MS)
 
     def deliver(self, conn: _Connection, sender: _End, data: bytes) -> None:
         """Carry bytes, after all that was sent before on the same way."""
-        if self.rng.random() < self.troubles.reset:
+        if self.rng.random() < self.faults.reset:
             self.timers.after(self.delay_ms(), lambda: self.end(conn, CloseReason.RESET))
-        if self.rng.random() < self.troubles.cut and sender not in conn.cut_from:
-            conn.cut_from.add(sender)
+        if self.rng.random() < self.faults.cut and sender not in conn.severed_from:
+            conn.severed_from.add(sender)
             self.timers.after(SILENCE_MS, lambda: self._notice_cut(conn, sender))
-        if sender in conn.cut_from:
+        if sender in conn.severed_from:
             return
-        receiver = conn.ends[1] if sender is conn.ends[0] else conn.ends[0]
-        conn.waiting[receiver].append(data)
-        at_ms = max(conn.free_ms[sender], self.timers.now_ms() + self.delay_ms())
-        conn.free_ms[sender] = at_ms
+        receiver = conn.results[1] if sender is conn.results[0] else conn.results[0]
+        conn.in_transit[receiver].append(data)
+        at_ms = max(conn.next_arrival_ms[sender], self.timers.now_ms() + self.delay_ms())
+        conn.next_arrival_ms[sender] = at_ms
         delay_ms = at_ms - self.timers.now_ms()
         self.timers.after(delay_ms, lambda: self._arrive(conn, receiver))
 
     def _arrive(self, conn: _Connection, receiver: _End) -> None:
         def take() -> None:
-            data = conn.waiting[receiver].popleft()
+            data = conn.in_transit[receiver].popleft()
             if conn.is_open and receiver.number in receiver.links.conns:
                 receiver.links.on_data(receiver.number, data)
 
@@ -145,7 +145,7 @@
         sender.links.closed(sender.number, CloseReason.SILENT)
 
     def end(self, conn: _Connection, reason: CloseReason) -> None:
-        for end in conn.ends:
+        for end in conn.results:
             end.links.closed(end.number, reason)
         conn.is_open = False
 
@@ -172,11 +172,11 @@
 
     def open(self, ip: str, port: int, timeout_ms: float) -> int:
         server = self.network.servers[ip]
-        near, far = _End(self, next(self.numbers)), _End(server, next(server.numbers))
-        conn = _Connection((near, far))
+        near, delegation = _End(self, next(self.numbers)), _End(server, next(server.numbers))
+        conn = _Connection((near, delegation))
         self.conns[near.number] = (conn, near)
-        server.conns[far.number] = (conn, far)
-        server.timers.after(1.0, lambda: server.on_open(far.number, True))
+        server.conns[delegation.number] = (conn, delegation)
+        server.timers.after(1.0, lambda: server.on_open(delegation.number, True))
         self.timers.after(2.0, lambda: self.on_open(near.number, False))
         return near.number
 
--- a/rhubarbhinge/gateway/tests/simulated_cold.py
+++ b/rhubarbhinge/gateway/tests/simulated_warmup.py
@@ -1,45 +1,45 @@
 """Entries that send to cold searchers as often as they may, on a simulated fleet."""
 
 from rhubarbhinge.fleet import ColdRule, Fleet, ObservedSearcher, Searcher
-from rhubarbhinge.gateway._cold_shares import ColdShares
+from rhubarbhinge.gateway._warmup_limiter import WarmupLimiter
 from rhubarbhinge.members.tests.simulated import Fleet as Entries
 from rhubarbhinge.members.tests.simulated import Node
 from rhubarbhinge.plans import CallerLimits, Service, ServingPlan
 
 RULE = ColdRule(1.5, 5.0)
-PER_S = 12.0
-MOST = 23
+RATE_PER_S = 12.0
+MAX_PER_SECOND = 23
 """Requests in a second that the rule allows for that rate."""
 WARMUP_MS = 60_000.0
 """Longer than any schedule, so that searchers that have become cold stay so."""
-TRY_MS = 7.0
+SEND_INTERVAL_MS = 7.0
 """How often each entry has a request for each searcher; many times as often as it may send one."""
 
 
-class Plan:
+class FakeFollower:
     """Knows the plan, as the follower of an entry does."""
 
-    def __init__(self, per_s: float = PER_S):
+    def __init__(self, per_s: float = RATE_PER_S):
         service = Service("shard", "/health", 51, WARMUP_MS, per_s)
         self.plan = ServingPlan(3, (), {"shard": service}, CallerLimits())
 
 
-class Sender:
+class SendingEntry:
     """One process of an entry, which sends to all searchers as often as it may.
 
     :param world: the searchers.
     :param node: its membership.
     """
 
-    def __init__(self, world: "ColdWorld", node: Node):
-        self._world = world
+    def __init__(self, simulation: "WarmupSimulation", node: Node):
+        self._simulation = simulation
         self.node = node
-        self.shares = ColdShares(Plan(), node.membership, lambda: RULE, node.now_ms)
+        self.shares = WarmupLimiter(FakeFollower(), node.membership, lambda: RULE, node.now_ms)
         self.fleet = Fleet(node.now_ms, lambda observed: None)
-        for searcher in world.searchers:
+        for searcher in simulation.searchers:
             self.fleet.put(searcher)
-        self._numbers = 0
-        node.after(TRY_MS, self._send)
+        self._last_number = 0
+        node.after(SEND_INTERVAL_MS, self._send)
 
     def observed(self, name: str) -> ObservedSearcher:
         return next(one for one in self.fleet.all() if one.searcher.incarnation == name)
@@ -48,21 +48,23 @@
         now_ms = self.node.now_ms()
         for observed in self.fleet.all():
             if self.shares.may_send(observed, now_ms):
-                self._numbers += 1
-                observed.on_sent(self._numbers, now_ms)
+                self._last_number += 1
+                observed.on_sent(self._last_number, now_ms)
                 # Some wait for their connection, some are refused.
-                wait_ms = self._world.entries.rng.choice((0.0, 0.0, 6.0, 300.0))
-                self.node.after(wait_ms, lambda o=observed, n=self._numbers: self._written(o, n))
-        self.node.after(TRY_MS, self._send)
+                wait_ms = self._simulation.entries.rng.choice((0.0, 0.0, 6.0, 300.0))
+                self.node.after(
+                    wait_ms, lambda o=observed, n=self._last_number: self._written(o, n)
+                )
+        self.node.after(SEND_INTERVAL_MS, self._send)
 
     def _written(self, observed: ObservedSearcher, number: int) -> None:
         now_ms = self.node.now_ms()
         observed.on_written(number, now_ms)
         observed.on_reply(number, 5.0, 5.0, now_ms)
-        self._world.note(observed.searcher.incarnation, now_ms)
+        self._simulation.record(observed.searcher.incarnation, now_ms)
 
 
-class ColdWorld:
+class WarmupSimulation:
     """A fleet of entries beside searchers of which one in each failure domain is cold.
 
     :param domains: names of the entries of each failure domain.
@@ -76,10 +78,10 @@
             for name in domains
         )
         self.sent_ms: dict[str, list[float]] = {one.incarnation: [] for one in self.searchers}
-        self.senders: dict[str, Sender] = {}
+        self.senders: dict[str, SendingEntry] = {}
 
-    def start(self, name: str) -> Sender:
-        sender = Sender(self, self.entries.start(name))
+    def start(self, name: str) -> SendingEntry:
+        sender = SendingEntry(self, self.entries.start(name))
         self.senders[name] = sender
         return sender
 
@@ -90,7 +92,7 @@
                 delay_ms = self.entries.rng.uniform(0.0, 300.0)
                 self.entries.clock.after(delay_ms, lambda name=name: self.start(name))
 
-    def note(self, searcher: str, at_ms: float) -> None:
+    def record(self, searcher: str, at_ms: float) -> None:
         self.sent_ms[searcher].append(at_ms)
 
     def most_in_a_second(self) -> int:
--- a/rhubarbhinge/gateway/tests/test_attempts.py
+++ b/rhubarbhinge/gateway/tests/test_attempts.py
@@ -14,8 +14,8 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.delegation import _delegates
-from rhubarbhinge.gateway import _far_search
-from rhubarbhinge.gateway.tests.simulated_attempts import SHARDS_AN_ENTRY, World
+from rhubarbhinge.gateway import _shard_delegation
+from rhubarbhinge.gateway.tests.simulated_attempts import SHARDS_PER_ENTRY, SearchSimulation
 
 EXAMPLES = 250
 
@@ -23,24 +23,24 @@
 class AttemptsTest(unittest.TestCase):
     def setUp(self):
         # Thousands of links break; each would be a line.
-        silent = mock.patch.object(_delegates, "log_event")
-        silent.start()
-        self.addCleanup(silent.stop)
+        silenced = mock.patch.object(_delegates, "log_event")
+        silenced.start()
+        self.addCleanup(silenced.stop)
 
-    def play(self, seed: int) -> World:
-        with mock.patch.object(_far_search, "MOST_SHARDS", SHARDS_AN_ENTRY):
-            world = World(seed)
-            world.play()
-        return world
+    def simulate(self, seed: int) -> SearchSimulation:
+        with mock.patch.object(_shard_delegation, "MAX_SHARDS_PER_ENTRY", SHARDS_PER_ENTRY):
+            simulation = SearchSimulation(seed)
+            simulation.run()
+        return simulation
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=EXAMPLES)
     @given(st.integers(0, 1 << 32))
     def test_no_more_searchers_of_a_shard_run_a_request_than_its_route_allows(self, seed):
-        world = self.play(seed)
-        self.assertLessEqual(world.most_searchers(), world.max_attempts)
+        simulation = self.simulate(seed)
+        self.assertLessEqual(simulation.max_searchers(), simulation.max_attempts)
 
     def test_the_schedules_reach_searchers_by_other_entries_and_all_attempts(self):
-        worlds = [self.play(seed) for seed in range(40)]
-        self.assertIn(3, {world.most_searchers() for world in worlds})
-        self.assertTrue(any(world.network.servers["b-1"].conns for world in worlds))
-        self.assertTrue(any(world.ends for world in worlds))
+        worlds = [self.simulate(seed) for seed in range(40)]
+        self.assertIn(3, {simulation.max_searchers() for simulation in worlds})
+        self.assertTrue(any(simulation.network.servers["b-1"].conns for simulation in worlds))
+        self.assertTrue(any(simulation.results for simulation in worlds))
--- a/rhubarbhinge/gateway/tests/test_domain_checks.py
+++ b/rhubarbhinge/gateway/tests/test_domain_checks.py
@@ -10,25 +10,25 @@
 import unittest
 
 from rhubarbhinge.fleet import DomainReach, Fleet, ObservedSearcher, Searcher
-from rhubarbhinge.gateway._domain_checks import SAMPLE, VERIFY_MS, DomainChecks
+from rhubarbhinge.gateway._domain_checks import SAMPLE_SIZE, VERIFY_TIMEOUT_MS, DomainChecks
 from rhubarbhinge.utils.fake_timers import FakeTimers
 
 ENTRIES = 195
 SHARDS = 87
 DOMAINS = ("hall-a", "hall-b")
-MOST_CONNECTIONS = 120
+MAX_CONNECTIONS = 120
 PROBE_MS = 250.0
 
 
 class FakePool:
     """Notes the connections that are opened; those to searchers that can be reached succeed."""
 
-    def __init__(self, timers: FakeTimers, reach, is_dark):
+    def __init__(self, timers: FakeTimers, reach, is_unreachable):
         self._timers = timers
         self._reach = reach
-        self._is_dark = is_dark
+        self._is_dark = is_unreachable
         self.opened: list[ObservedSearcher] = []
-        self.aside: list[ObservedSearcher] = []
+        self.set_aside_searchers: list[ObservedSearcher] = []
 
     def verify(self, observed: ObservedSearcher) -> None:
         observed.on_unreachable()
@@ -36,7 +36,7 @@
 
     def set_aside(self, observed: ObservedSearcher) -> None:
         observed.on_unreachable()
-        self.aside.append(observed)
+        self.set_aside_searchers.append(observed)
 
     def open_ahead(self, observed: ObservedSearcher) -> None:
         self.opened.append(observed)
@@ -48,10 +48,10 @@
         self._reach.on_heard(observed.searcher.failure_domain)
 
 
-class Entry:
+class EntryView:
     """One entry's view."""
 
-    def __init__(self, timers: FakeTimers, seed: int, is_dark):
+    def __init__(self, timers: FakeTimers, seed: int, is_unreachable):
         self.timers = timers
         self.changes = 0
         self.fleet = Fleet(timers.now_ms, lambda observed: None)
@@ -62,9 +62,9 @@
         self.reach = DomainReach(
             timers.now_ms,
             lambda domain: self.checks.suspect(domain),
-            lambda domain: self.checks.heard(domain),
+            lambda domain: self.checks.on_heard(domain),
         )
-        self.pool = FakePool(timers, self.reach, is_dark)
+        self.pool = FakePool(timers, self.reach, is_unreachable)
         self.checks = DomainChecks(
             timers, self.fleet, self.pool, self.reach, random.Random(seed), self._changed
         )
@@ -90,24 +90,24 @@
     def setUp(self):
         self.timers = FakeTimers()
 
-    def entry(self, is_dark, seed: int = 1) -> Entry:
-        return Entry(self.timers, seed, is_dark)
+    def entry(self, is_unreachable, seed: int = 1) -> EntryView:
+        return EntryView(self.timers, seed, is_unreachable)
 
     def test_searchers_that_go_dark_cost_the_others_of_their_domain_nothing(self):
-        dark = {f"i-{shard}-0" for shard in range(0, SHARDS, 3)}
-        entry = self.entry(lambda observed: observed.searcher.incarnation in dark)
+        unreachable = {f"i-{shard}-0" for shard in range(0, SHARDS, 3)}
+        entry = self.entry(lambda observed: observed.searcher.incarnation in unreachable)
         entry.fall_silent(0, 3)
         # Nearly all serve on while it is found out; before, all 87 waited for a new connection.
-        self.assertLessEqual(entry.down(), 2 + SAMPLE)
-        self.timers.advance(VERIFY_MS)
-        self.assertLessEqual(entry.down(), 2 + SAMPLE)
-        self.assertLessEqual(len(entry.pool.opened), SAMPLE)
-        self.assertEqual(entry.pool.aside, [])
+        self.assertLessEqual(entry.down(), 2 + SAMPLE_SIZE)
+        self.timers.advance(VERIFY_TIMEOUT_MS)
+        self.assertLessEqual(entry.down(), 2 + SAMPLE_SIZE)
+        self.assertLessEqual(len(entry.pool.opened), SAMPLE_SIZE)
+        self.assertEqual(entry.pool.set_aside_searchers, [])
 
     def test_a_domain_that_is_cut_off_is_given_up_at_once_and_whole(self):
         entry = self.entry(lambda observed: True)
         entry.fall_silent(0, 3)
-        self.timers.advance(VERIFY_MS)
+        self.timers.advance(VERIFY_TIMEOUT_MS)
         self.assertEqual(entry.down(), SHARDS)
         self.assertEqual(entry.changes, 1)
         self.assertTrue(all(not one.is_down for one in entry.of("hall-b")))
@@ -116,7 +116,7 @@
         cut = True
         entry = self.entry(lambda observed: cut)
         entry.fall_silent(0, 3)
-        self.timers.advance(VERIFY_MS)
+        self.timers.advance(VERIFY_TIMEOUT_MS)
         cut = False
         entry.checks.probe()
         self.timers.advance(10.0)
@@ -126,15 +126,15 @@
     def test_those_that_were_found_out_alone_stay_down_until_they_are_reached(self):
         entry = self.entry(lambda observed: True)
         entry.fall_silent(0, 3)
-        self.timers.advance(VERIFY_MS)
+        self.timers.advance(VERIFY_TIMEOUT_MS)
         entry.reach.on_heard("hall-a")
         # The sample of the check was found out by its own connections.
-        self.assertEqual(entry.down(), 2 + SAMPLE)
+        self.assertEqual(entry.down(), 2 + SAMPLE_SIZE)
 
     def test_what_started_again_or_left_meanwhile_is_not_touched(self):
         entry = self.entry(lambda observed: True)
         entry.fall_silent(0, 3)
-        self.timers.advance(VERIFY_MS)
+        self.timers.advance(VERIFY_TIMEOUT_MS)
         again = Searcher("i-9-0", "shard-9", "10.0.0.10", 80, "hall-a", 2, started_unix_ms=5)
         moved = Searcher("i-8-0", "shard-8", "10.0.0.99", 80, "hall-a", 2)
         for one in (again, moved):
@@ -148,7 +148,7 @@
         entries = [self.entry(lambda observed: cut, seed) for seed in range(ENTRIES)]
         for entry in entries:
             entry.fall_silent(0, 3)
-        self.timers.advance(VERIFY_MS)
+        self.timers.advance(VERIFY_TIMEOUT_MS)
         cut = False
         opened: dict[str, int] = {}
         for entry in entries:
@@ -159,6 +159,6 @@
                 opened[name] = opened.get(name, 0) + 1
         # But for the two that every entry has found out for itself.
         most = max(count for name, count in opened.items() if name not in ("i-0-0", "i-3-0"))
-        self.assertLess(most, MOST_CONNECTIONS / 4)
+        self.assertLess(most, MAX_CONNECTIONS / 4)
         self.timers.advance(10.0)
         self.assertEqual(sum(entry.down() for entry in entries), 0)
--- a/rhubarbhinge/gateway/tests/test_fatal_requests.py
+++ b/rhubarbhinge/gateway/tests/test_fatal_requests.py
@@ -13,42 +13,42 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.delegation import _delegates
-from rhubarbhinge.gateway import _far_search
-from rhubarbhinge.gateway.tests.simulated_attempts import SHARDS_AN_ENTRY
-from rhubarbhinge.gateway.tests.simulated_fatal import FATAL, FatalWorld
+from rhubarbhinge.gateway import _shard_delegation
+from rhubarbhinge.gateway.tests.simulated_attempts import SHARDS_PER_ENTRY
+from rhubarbhinge.gateway.tests.simulated_fatal import FATAL, FatalRequestSimulation
 from rhubarbhinge.quarantine import _quarantine
 
 EXAMPLES = 40
 SECONDS = 30
-MOST_RETRIES = 3
+MAX_LATE_ATTEMPTS = 3
 
 
 class FatalRequestsTest(unittest.TestCase):
     def setUp(self):
         for module in (_delegates, _quarantine):
-            silent = mock.patch.object(module, "log_event")
-            silent.start()
-            self.addCleanup(silent.stop)
+            silenced = mock.patch.object(module, "log_event")
+            silenced.start()
+            self.addCleanup(silenced.stop)
 
-    def play(self, seed: int, seconds: int = SECONDS) -> FatalWorld:
-        with mock.patch.object(_far_search, "MOST_SHARDS", SHARDS_AN_ENTRY):
-            world = FatalWorld(seed)
-            world.play_fatal(seconds)
-        return world
+    def simulate(self, seed: int, seconds: int = SECONDS) -> FatalRequestSimulation:
+        with mock.patch.object(_shard_delegation, "MAX_SHARDS_PER_ENTRY", SHARDS_PER_ENTRY):
+            simulation = FatalRequestSimulation(seed)
+            simulation.run_fatal(seconds)
+        return simulation
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=EXAMPLES)
     @given(st.integers(0, 1 << 32))
     def test_few_attempts_reach_searchers_once_three_have_ended(self, seed):
-        world = self.play(seed)
-        self.assertLessEqual(len(world.late_attempts()), MOST_RETRIES)
+        simulation = self.simulate(seed)
+        self.assertLessEqual(len(simulation.late_attempts()), MAX_LATE_ATTEMPTS)
 
     def test_no_other_request_is_quarantined_and_the_schedules_reach_all_of_it(self):
-        worlds = [self.play(seed) for seed in range(12)]
-        for world in worlds:
-            for entry in world.entries.values():
+        worlds = [self.simulate(seed) for seed in range(12)]
+        for simulation in worlds:
+            for entry in simulation.entries.values():
                 convicted = {one.fingerprint for one in entry.quarantine.told() if one.convicts}
                 self.assertLessEqual(convicted, {FATAL})
-        self.assertTrue(any(len(world.searchers.ends_ms) >= 10 for world in worlds))
-        self.assertTrue(any(world.troubles.pause for world in worlds))
-        self.assertTrue(any(world.datagram_loss for world in worlds))
-        self.assertTrue(any(sum(world.good) for world in worlds))
+        self.assertTrue(any(len(simulation.searchers.ends_ms) >= 10 for simulation in worlds))
+        self.assertTrue(any(simulation.faults.pause for simulation in worlds))
+        self.assertTrue(any(simulation.datagram_loss for simulation in worlds))
+        self.assertTrue(any(sum(simulation.good_results) for simulation in worlds))
--- a/rhubarbhinge/gateway/tests/test_gateway.py
+++ b/rhubarbhinge/gateway/tests/test_gateway.py
@@ -5,9 +5,9 @@
 
 from rhubarbhinge.forward import CallerRequest, Lost, NotRun, SearcherReply, Why
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
-from rhubarbhinge.gateway import AnswerLead, Gateway, GatewayParts
-from rhubarbhinge.gateway._handling import SAMPLED_ONE_IN
-from rhubarbhinge.gather import FarSearch
+from rhubarbhinge.gateway import AnswerLeadTime, Gateway, GatewayDependencies
+from rhubarbhinge.gateway._request_handler import SAMPLING_INTERVAL
+from rhubarbhinge.gather import ShardDelegation
 from rhubarbhinge.plans import CallerLimits, Route, ServingPlan, ShardSet, WeightedService
 from rhubarbhinge.quarantine import Quarantine
 from rhubarbhinge.telemetry import use_event_log
@@ -43,7 +43,7 @@
         return 0.0
 
 
-class KeptEvents:
+class RecordingEventLog:
     """Keeps events in place of writing them."""
 
     def __init__(self):
@@ -58,22 +58,22 @@
         self.world = FakeWorld(services=("one", *SHARDS))
         self.follower = FakeFollower()
         self.answers: list[Response] = []
-        far = FarSearch(lambda request, terms, served: {}, None)
-        self.moving_ms = 0.0
+        delegation = ShardDelegation(lambda request, terms, served: {}, None)
+        self.balancer_delay_ms = 0.0
         self.link_bits_per_ms = 0.0
         self.metrics = self.world.metrics
-        parts = GatewayParts(
+        dependencies = GatewayDependencies(
             self.world.around,
             FakeDialect(),
             self.follower,
             self.metrics,
             random.Random(1),
-            far,
-            AnswerLead(lambda: self.link_bits_per_ms),
-            lambda: self.moving_ms,
+            delegation,
+            AnswerLeadTime(lambda: self.link_bits_per_ms),
+            lambda: self.balancer_delay_ms,
             Quarantine(self.world.timers.now_ms, lambda name: True, lambda: None, random.Random(1)),
         )
-        self.gateway = Gateway(parts)
+        self.gateway = Gateway(dependencies)
 
     def ask(self, path: str, wait_ms: float | None = None, transit_ms: float = 0.0) -> Responder:
         headers = {"host": "a", **({"wait": str(wait_ms)} if wait_ms else {})}
@@ -96,10 +96,10 @@
         self.assertLess(self.retry_after(), 1.0)
 
     def test_one_in_so_many_requests_that_went_well_is_logged_with_its_steps(self):
-        log = KeptEvents()
+        log = RecordingEventLog()
         use_event_log(log)
         self.addCleanup(use_event_log, None)
-        for _ in range(10 * SAMPLED_ONE_IN):
+        for _ in range(10 * SAMPLING_INTERVAL):
             self.ask("/one/x")
             self.world.attempts[-1].end(replied())
         ends = [fields for name, fields in log.events if name == "request-ended"]
@@ -116,7 +116,7 @@
         self.assertEqual(self.status(), 503)
 
     def test_a_failure_that_is_passed_on_is_logged(self):
-        log = KeptEvents()
+        log = RecordingEventLog()
         use_event_log(log)
         self.addCleanup(use_event_log, None)
         self.ask("/once/x")
@@ -224,7 +224,7 @@
     def test_a_refused_caller_comes_back_when_the_balancer_has_moved_it(self):
         for name in ("s0-1", "s0-2", "s1-1", "s1-2"):
             self.world.observed(name).on_unreachable()
-        self.moving_ms = 1_500.0
+        self.balancer_delay_ms = 1_500.0
         self.ask("/all/x")
         self.world.timers.advance(0.0)
         self.assertEqual(self.status(), 503)
--- a/rhubarbhinge/gateway/tests/test_link_use.py
+++ b/rhubarbhinge/gateway/tests/test_link_usage.py
@@ -5,28 +5,28 @@
 from contextlib import contextmanager
 from unittest import mock
 
-from rhubarbhinge.gateway import _link_use
-from rhubarbhinge.gateway._link_use import LinkUse
+from rhubarbhinge.gateway import _link_usage
+from rhubarbhinge.gateway._link_usage import LinkUsage
 
 PERIOD_MS = 250.0
 LINK_BITS_PER_MS = 8_400.0
 
 
-class LinkUseTest(unittest.TestCase):
+class LinkUsageTest(unittest.TestCase):
     def setUp(self):
         self.now_ms = 0.0
         self.sent = {"callers": 0, "state": 0}
         self.link_bits_per_ms = LINK_BITS_PER_MS
         counts = {kind: lambda kind=kind: self.sent[kind] for kind in self.sent}
-        self.use = LinkUse(counts, lambda: self.link_bits_per_ms, lambda: self.now_ms)
+        self.usage = LinkUsage(counts, lambda: self.link_bits_per_ms, lambda: self.now_ms)
 
     @contextmanager
     def period(self, callers: int, state: int) -> Iterator[list]:
         self.sent["callers"] += callers
         self.sent["state"] += state
         self.now_ms += PERIOD_MS
-        with mock.patch.object(_link_use, "log_event") as log_event:
-            self.use.check()
+        with mock.patch.object(_link_usage, "log_event") as log_event:
+            self.usage.close_period()
         yield log_event.mock_calls
 
     def test_a_period_that_fills_the_link_is_logged_with_what_filled_it(self):
--- a/rhubarbhinge/gateway/tests/test_far_search.py
+++ b/rhubarbhinge/gateway/tests/test_shard_delegation.py
@@ -5,7 +5,7 @@
 
 from rhubarbhinge.fleet import Searcher
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld
-from rhubarbhinge.gateway._far_search import MOST_SHARDS, far_search
+from rhubarbhinge.gateway._shard_delegation import MAX_SHARDS_PER_ENTRY, shard_delegation
 
 
 class FakeDelegates:
@@ -21,42 +21,44 @@
         return self._by_domain.get(failure_domain, [])[: max(0, count)]
 
 
-class FarSearchTest(unittest.TestCase):
-    def shards_for(self, shards: int, near: bool, entries: dict[str, list[str]]) -> dict:
+class ShardDelegationTest(unittest.TestCase):
+    def shards_for(self, shards: int, local: bool, entries: dict[str, list[str]]) -> dict:
         services = [f"s{number}" for number in range(shards)]
         world = FakeWorld(services=())
         for service in services:
-            domain = "hall-a" if near else "hall-b"
+            domain = "hall-a" if local else "hall-b"
             world.fleet.put(Searcher(f"i-{service}", service, "10.0.0.1", 80, domain, 2))
-        far = far_search("hall-a", world.around, FakeDelegates(entries), random.Random(1))
+        delegation = shard_delegation(
+            "hall-a", world.around, FakeDelegates(entries), random.Random(1)
+        )
         self.services = services
-        return far.shards_for(REQUEST, None, services)
+        return delegation.shards_for(REQUEST, None, services)
 
-    def assert_split(self, found: dict, addresses: set[str], kept: int) -> None:
-        asked = [service for services in found.values() for service in services]
-        self.assertEqual(set(found), addresses)
+    def assert_split(self, assigned: dict, addresses: set[str], kept_count: int) -> None:
+        asked = [service for services in assigned.values() for service in services]
+        self.assertEqual(set(assigned), addresses)
         self.assertEqual(len(asked), len(set(asked)))
-        self.assertEqual(len(self.services) - len(asked), kept)
-        sizes = {len(services) for services in found.values()}
+        self.assertEqual(len(self.services) - len(asked), kept_count)
+        sizes = {len(services) for services in assigned.values()}
         self.assertLessEqual(max(sizes) - min(sizes), 1)
 
     def test_few_shards_near_this_entry_stay_here(self):
-        found = self.shards_for(MOST_SHARDS, True, {"hall-a": ["10.0.0.2", "10.0.0.3"]})
-        self.assertEqual(found, {})
+        assigned = self.shards_for(MAX_SHARDS_PER_ENTRY, True, {"hall-a": ["10.0.0.2", "10.0.0.3"]})
+        self.assertEqual(assigned, {})
 
     def test_many_shards_are_split_evenly_among_entries_of_the_domain(self):
         entries = {"hall-a": ["10.0.0.2", "10.0.0.3", "10.0.0.4"]}
-        found = self.shards_for(3 * MOST_SHARDS, True, entries)
-        self.assert_split(found, {"10.0.0.2", "10.0.0.3"}, MOST_SHARDS)
+        assigned = self.shards_for(3 * MAX_SHARDS_PER_ENTRY, True, entries)
+        self.assert_split(assigned, {"10.0.0.2", "10.0.0.3"}, MAX_SHARDS_PER_ENTRY)
 
     def test_fewer_entries_take_more_each(self):
-        found = self.shards_for(90, True, {"hall-a": ["10.0.0.2"]})
-        self.assert_split(found, {"10.0.0.2"}, 45)
+        assigned = self.shards_for(90, True, {"hall-a": ["10.0.0.2"]})
+        self.assert_split(assigned, {"10.0.0.2"}, 45)
         self.assertEqual(self.shards_for(90, True, {}), {})
 
     def test_many_shards_of_another_domain_are_split_among_its_entries(self):
-        found = self.shards_for(90, False, {"hall-b": ["10.0.1.2", "10.0.1.3", "10.0.1.4"]})
-        self.assert_split(found, {"10.0.1.2", "10.0.1.3", "10.0.1.4"}, 0)
+        assigned = self.shards_for(90, False, {"hall-b": ["10.0.1.2", "10.0.1.3", "10.0.1.4"]})
+        self.assert_split(assigned, {"10.0.1.2", "10.0.1.3", "10.0.1.4"}, 0)
 
     def test_a_single_shard_of_another_domain_is_left_to_an_entry_there(self):
         self.assertEqual(self.shards_for(1, False, {"hall-b": ["10.0.1.2"]}), {"10.0.1.2": ["s0"]})
--- a/rhubarbhinge/gather/__init__.py
+++ b/rhubarbhinge/gather/__init__.py
@@ -1,31 +1,31 @@
 """Searches: one request to every shard, merged into one answer."""
 
-from rhubarbhinge.gather._far_search import (
+from rhubarbhinge.gather._gather_terms import GatherTerms
+from rhubarbhinge.gather._merge import RECORD_BYTES, merge_greatest
+from rhubarbhinge.gather._results import Gathered, TooFewShards
+from rhubarbhinge.gather._scatter_gather import ScatterGather
+from rhubarbhinge.gather._shard_calls import ShardCalls, ShardEnd
+from rhubarbhinge.gather._shard_delegation import (
+    DelegatedSearch,
     EndedSearcher,
-    FarAsk,
     FarNews,
-    FarPart,
-    FarSearch,
     GrantAttempts,
+    PartialResult,
+    ShardDelegation,
 )
-from rhubarbhinge.gather._gather_terms import GatherTerms
-from rhubarbhinge.gather._gathering import Gathering
-from rhubarbhinge.gather._merge import RECORD_BYTES, merge_greatest
-from rhubarbhinge.gather._results import Gathered, NotEnough
-from rhubarbhinge.gather._shard_calls import ShardCalls, ShardEnd
 
 __all__ = [
     "RECORD_BYTES",
     "EndedSearcher",
-    "FarAsk",
+    "DelegatedSearch",
     "FarNews",
-    "FarPart",
-    "FarSearch",
+    "PartialResult",
+    "ShardDelegation",
     "GatherTerms",
     "Gathered",
-    "Gathering",
+    "ScatterGather",
     "GrantAttempts",
-    "NotEnough",
+    "TooFewShards",
     "ShardCalls",
     "ShardEnd",
     "merge_greatest",
--- a/rhubarbhinge/gather/_results.py
+++ b/rhubarbhinge/gather/_results.py
@@ -15,10 +15,10 @@
     signatures: tuple[str, ...]
     missing: tuple[str, ...]
     body: bytes
-    by_time: bool = False
+    at_due_time: bool = False
 
 
-class NotEnough(Struct, frozen=True):
+class TooFewShards(Struct, frozen=True):
     """Too few shards answered, or can.
 
     :param missing: names of the shards that did not answer.
--- /dev/null
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -0,0 +1,243 @@
+"""One search under way."""
+
+from collections import Counter
+from collections.abc import Callable
+
+from rhubarbhinge.fleet import Delays
+from rhubarbhinge.forward import CallerRequest, Story, Surroundings
+from rhubarbhinge.gather._gather_terms import GatherTerms
+from rhubarbhinge.gather._merge import merge_greatest
+from rhubarbhinge.gather._results import Gathered, TooFewShards
+from rhubarbhinge.gather._shard_calls import ShardCalls, ShardEnd
+from rhubarbhinge.gather._shard_delegation import (
+    DelegatedSearch,
+    FarNews,
+    PartialResult,
+    ShardDelegation,
+)
+
+
+class ScatterGather:
+    """One search under way.
+
+    :param surroundings: what requests share.
+    :param request: the caller's request.
+    :param terms: what is granted.
+    :param delays: the usual delays of such requests at one shard.
+    :param far: how other entries are asked for the shards near them.
+    :param on_end: told the result, once and later than the start.
+    :param story: keeps what is decided.
+    """
+
+    def __init__(
+        self,
+        context: Surroundings,
+        request: CallerRequest,
+        terms: GatherTerms,
+        delays: Delays,
+        delegation: ShardDelegation,
+        on_end: Callable[[Gathered | TooFewShards], None],
+        request_log: Story,
+    ):
+        self._context = context
+        self._request = request
+        self._terms = terms
+        self._control = terms.call.control
+        self._delegation = delegation
+        self._on_end = on_end
+        self._request_log = request_log
+        self._calls = ShardCalls(
+            context, request, terms.call, delays, self._on_shard_end, request_log
+        )
+        self._unsent: list[str] = []
+        self._signatures: dict[str, str] = {}
+        self._bodies: list[bytes] = []
+        self._delegated: dict[str, tuple[DelegatedSearch, list[str]]] = {}
+        self._delegated_attempts: Counter[str] = Counter()
+        self._may_have_run = False
+        self._past_due = False
+        self._finished = False
+        self._timer = None
+
+    def start(self) -> None:
+        """Send to every shard, unless too few have a searcher."""
+        context, shards = self._context, self._terms.shards
+        reachable = [name for name in shards.services if context.fleet.is_reachable(name)]
+        if not shards.is_enough(len(reachable)):
+            context.timers.after(0, self._fail)
+            return
+        wait_ms = self._terms.answer_by_ms - context.timers.now_ms()
+        self._timer = context.timers.after(max(0.0, wait_ms), self._on_answer_due)
+        if self._control.one_first:
+            self._unsent = reachable
+            self._send_to_one()
+        else:
+            self._send(reachable)
+
+    def _send_to_one(self) -> None:
+        """Send to one shard, before any other gets a request that may end its searchers."""
+        service = self._unsent.pop(0)
+        self._context.budget.on_request((service,))
+        self._calls.start((service,))
+
+    def _send(self, reachable: list[str]) -> None:
+        context = self._context
+        by_address = self._delegation.shards_for(self._request, self._terms, reachable)
+        for address, services in by_address.items():
+            self._delegate(address, services)
+        delegated = {name for services in by_address.values() for name in services}
+        local = [name for name in reachable if name not in delegated]
+        context.budget.on_request(local)
+        self._calls.start(local)
+
+    def cancel(self) -> None:
+        """Give the search up; its result is not told."""
+        self._finished = True
+        if self._timer is not None:
+            self._timer.cancel()
+        self._may_have_run = self._may_have_run or self._calls.may_have_run or bool(self._delegated)
+        self._calls.cancel()
+        asks, self._delegated = self._delegated, {}
+        for ask, _ in asks.values():
+            ask.cancel()
+
+    def time_out(self) -> None:
+        """Finish now, with what there is."""
+        if self._finished:
+            return
+        if self._terms.shards.is_enough(len(self._signatures)):
+            self._answer()
+        else:
+            self._fail(timed_out=True)
+
+    def _delegate(self, address: str, services: list[str]) -> None:
+        self._request_log.note("ask-sent", ",".join(services), entry=address)
+        ask = self._delegation.ask(
+            address,
+            self._request,
+            self._terms,
+            services,
+            lambda part: self._on_partial_result(address, part),
+            lambda wanted, report: self._grant_attempts(address, wanted, report),
+        )
+        self._delegated[address] = (ask, services)
+        self._delegated_attempts.update(services)
+
+    def _grant_attempts(
+        self, address: str, wanted: tuple[str, ...], report: FarNews
+    ) -> tuple[str, ...]:
+        """Let another entry send shards to one more searcher, as far as the route has attempts.
+
+        What is granted counts as executed from then on, also if the entry is never heard again.
+        """
+        for ended in report.ended:
+            self._control.on_ended(ended.service, ended.mark)
+        if report.replied:
+            self._control.on_replied("")
+        _, services = self._delegated.get(address, (None, ()))
+        return tuple(
+            name for name in wanted if name in services and self._claim_attempt(address, name)
+        )
+
+    def _claim_attempt(self, address: str, service: str) -> bool:
+        number = self._delegated_attempts[service] + 1
+        if number > self._terms.call.max_attempts:
+            return False
+        if not self._control.claim(
+            service, number, lambda: self._on_attempt_available(address, service)
+        ):
+            return False
+        self._delegated_attempts[service] = number
+        return True
+
+    def _on_attempt_available(self, address: str, service: str) -> None:
+        ask, services = self._delegated.get(address, (None, ()))
+        if service in services and self._claim_attempt(address, service):
+            ask.grant((service,))
+
+    def _on_partial_result(self, address: str, part: PartialResult | None) -> None:
+        if self._finished:
+            return
+        ask, services = self._delegated.pop(address)
+        in_time = "none" if part is None else len(part.services)
+        self._request_log.note("ask-ended", ",".join(services), entry=address, parts=in_time)
+        for name in services:
+            if part is None or name not in part.pending:
+                self._control.on_over(name)
+        if part is None or not _is_valid(part, services):
+            # Records of other shards can't be taken out of a part again.
+            ask.cancel()
+            self._may_have_run = True
+            self._calls.start(services, prior_attempts=self._delegated_attempts)
+        else:
+            if part.pending:
+                self._delegated[address] = (ask, list(part.pending))
+            self._merge_part(part)
+        self._finish_if_possible()
+
+    def _merge_part(self, part: PartialResult) -> None:
+        self._may_have_run = self._may_have_run or part.may_have_run
+        self._signatures.update(zip(part.services, part.signatures, strict=True))
+        self._bodies.append(part.body)
+        self._calls.start(part.untried)
+
+    def _on_shard_end(self, end: ShardEnd) -> None:
+        if self._finished:
+            return
+        self._may_have_run = self._may_have_run or end.may_have_run
+        if end.reply is not None:
+            self._signatures[end.service] = end.reply.signature
+            self._bodies.append(end.reply.body)
+        if self._unsent:
+            self._send_remaining()
+        self._finish_if_possible()
+
+    def _send_remaining(self) -> None:
+        """Send to the other shards once a searcher has replied; try another one if none could."""
+        if self._control.one_first:
+            self._send_to_one()
+        else:
+            unsent, self._unsent = self._unsent, []
+            is_reachable = self._context.fleet.is_reachable
+            self._send([name for name in unsent if is_reachable(name)])
+
+    def _finish_if_possible(self) -> None:
+        """Finish if all has ended, if it is late and there is enough, or if there can't be."""
+        shards = self._terms.shards
+        pending = self._open_shards()
+        if not shards.is_enough(len(self._signatures) + pending):
+            self._fail()
+        elif not pending or (self._past_due and shards.is_enough(len(self._signatures))):
+            self._answer()
+
+    def _open_shards(self) -> int:
+        asked = sum(len(services) for _, services in self._delegated.values())
+        return self._calls.open + asked + len(self._unsent)
+
+    def _on_answer_due(self) -> None:
+        self._past_due = True
+        if not self._finished and self._terms.shards.is_enough(len(self._signatures)):
+            self._answer(at_due_time=True)
+
+    def _answer(self, at_due_time: bool = False) -> None:
+        body = merge_greatest(self._bodies, self._terms.shards.top_k)
+        signatures = tuple(self._signatures.values())
+        self._finished = True
+        # The caller comes first: to cancel what is open takes milliseconds when many are missing.
+        self._on_end(Gathered(signatures, self._missing(), body, at_due_time))
+        self.cancel()
+
+    def _fail(self, timed_out: bool = False) -> None:
+        if self._finished:
+            return
+        self.cancel()
+        self._on_end(TooFewShards(self._missing(), self._may_have_run, timed_out))
+
+    def _missing(self) -> tuple[str, ...]:
+        return tuple(name for name in self._terms.shards.services if name not in self._signatures)
+
+
+def _is_valid(part: PartialResult, services: list[str]) -> bool:
+    """Tell whether a part is about shards that were asked for, each of them once."""
+    reported = (*part.services, *part.pending)
+    return len(set(reported)) == len(reported) and set(services).issuperset(reported)
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -17,7 +17,7 @@
     Surroundings,
 )
 
-NONE_RAN: Mapping[str, int] = MappingProxyType({})
+NO_PRIOR_ATTEMPTS: Mapping[str, int] = MappingProxyType({})
 """No searcher has had the request before."""
 
 
@@ -49,19 +49,19 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        context: Surroundings,
         request: CallerRequest,
         terms: CallTerms,
         delays: Delays,
         on_end: Callable[[ShardEnd], None],
-        story: Story,
+        request_log: Story,
     ):
-        self._around = surroundings
+        self._context = context
         self._request = request
         self._terms = terms
         self._delays = delays
         self._on_end = on_end
-        self._story = story
+        self._request_log = request_log
         self._calls: dict[str, ServiceCall] = {}
 
     @property
@@ -79,7 +79,9 @@
         """Whether a searcher may be executing one of the calls under way."""
         return any(call.may_have_run for call in self._calls.values())
 
-    def start(self, services: Iterable[str], ran: Mapping[str, int] = NONE_RAN) -> None:
+    def start(
+        self, services: Iterable[str], prior_attempts: Mapping[str, int] = NO_PRIOR_ATTEMPTS
+    ) -> None:
         """Send to shards.
 
         :param services: the shards.
@@ -88,14 +90,14 @@
         """
         calls = [
             ServiceCall(
-                self._around,
+                self._context,
                 self._request,
                 name,
                 self._terms,
                 self._delays,
-                self._ended,
-                self._story,
-                ran.get(name, 0),
+                self._on_call_end,
+                self._request_log,
+                prior_attempts.get(name, 0),
             )
             for name in services
         ]
@@ -109,9 +111,9 @@
         for call in calls.values():
             call.cancel()
 
-    def _ended(self, call: ServiceCall, result: Result) -> None:
+    def _on_call_end(self, call: ServiceCall, result: Result) -> None:
         if self._calls.pop(call.service, None) is None:
             return
         reply = result.reply if isinstance(result, Passed) else None
-        part = reply if reply is not None and reply.succeeded and reply.signature else None
-        self._on_end(ShardEnd(call.service, part, call.arrived, call.may_have_run))
+        usable_reply = reply if reply is not None and reply.succeeded and reply.signature else None
+        self._on_end(ShardEnd(call.service, usable_reply, call.arrived, call.may_have_run))
--- a/rhubarbhinge/gather/_far_search.py
+++ b/rhubarbhinge/gather/_shard_delegation.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.gather._gather_terms import GatherTerms
 
 
-class FarPart(Struct, frozen=True):
+class PartialResult(Struct, frozen=True):
     """What another entry found in the shards near it.
 
     :param services: shards whose records are in the body.
@@ -50,7 +50,7 @@
     replied: bool = False
 
 
-class FarAsk(Protocol):
+class DelegatedSearch(Protocol):
     """Handle of an ask to another entry."""
 
     def grant(self, services: tuple[str, ...]) -> None:
@@ -63,23 +63,25 @@
         """Give the ask up."""
 
 
-FarShards = Callable[[CallerRequest, GatherTerms, Iterable[str]], dict[str, list[str]]]
+AssignShards = Callable[[CallerRequest, GatherTerms, Iterable[str]], dict[str, list[str]]]
 """Tells which of some shards to leave to which other entry: lists of shards by its address."""
-OnFarPart = Callable[[FarPart | None], None]
+OnPartialResult = Callable[[PartialResult | None], None]
 """Told each part, the last one without pending shards; or None when the entry failed."""
 GrantAttempts = Callable[[tuple[str, ...], FarNews], tuple[str, ...]]
 """Given the shards that the other entry wants to send to one more searcher, and how its attempts
 fare, tells for which of them it may now."""
-AskFar = Callable[[str, CallerRequest, GatherTerms, list[str], OnFarPart, GrantAttempts], FarAsk]
+DelegateShards = Callable[
+    [str, CallerRequest, GatherTerms, list[str], OnPartialResult, GrantAttempts], DelegatedSearch
+]
 """Asks the entry at an address to search shards, at one searcher each until more is granted."""
 
 
-class FarSearch(Struct, frozen=True):
+class ShardDelegation(Struct, frozen=True):
     """How other entries are asked.
 
     :param shards_for: tells which shards to leave to which entry.
     :param ask: asks an entry.
     """
 
-    shards_for: FarShards
-    ask: AskFar
+    shards_for: AssignShards
+    ask: DelegateShards
--- a/rhubarbhinge/gather/tests/gathering_case.py
+++ b/rhubarbhinge/gather/tests/scatter_gather_case.py
@@ -6,18 +6,18 @@
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 from rhubarbhinge.gather import (
     FarNews,
-    FarSearch,
     Gathered,
-    Gathering,
     GatherTerms,
-    NotEnough,
+    ScatterGather,
+    ShardDelegation,
+    TooFewShards,
 )
 from rhubarbhinge.plans import ShardSet
 
 SHARDS = ("s0", "s1", "s2", "s3")
 
 
-class FakeFar:
+class FakeDelegation:
     """Other entries, to which a test leaves shards.
 
     :param by_address: which shards go to which entry.
@@ -25,17 +25,19 @@
 
     def __init__(self, by_address: dict[str, list[str]]):
         self._by_address = by_address
-        self.tells = {}
-        self.more = {}
-        self.news = {}
+        self.on_part = {}
+        self.grant_attempts = {}
+        self.report_attempts = {}
         self.granted: list[str] = []
         self.cancelled = 0
-        self.search = FarSearch(lambda request, terms, served: self._by_address, self._ask)
+        self.delegation = ShardDelegation(
+            lambda request, terms, served: self._by_address, self._ask
+        )
 
-    def _ask(self, address, request, terms, services, on_part, on_more):
-        self.tells[address] = on_part
-        self.news[address] = on_more
-        self.more[address] = lambda services: on_more(services, FarNews())
+    def _ask(self, address, request, terms, services, on_part, grant):
+        self.on_part[address] = on_part
+        self.report_attempts[address] = grant
+        self.grant_attempts[address] = lambda services: grant(services, FarNews())
         return self
 
     def grant(self, services: tuple[str, ...]) -> None:
@@ -45,36 +47,36 @@
         self.cancelled += 1
 
 
-class GatheringCase(unittest.TestCase):
+class ScatterGatherCase(unittest.TestCase):
     def start(
         self,
-        least: float = 0.75,
-        far: dict | None = None,
+        min_coverage: float = 0.75,
+        delegated: dict | None = None,
         slack: float = 10.0,
         control: AttemptControl = UNLIMITED,
         hedge_ms: float | None = None,
     ):
         self.world = FakeWorld(slack, SHARDS)
-        self.far = FakeFar(far or {})
-        self.ends: list[Gathered | NotEnough] = []
+        self.delegated = FakeDelegation(delegated or {})
+        self.ends: list[Gathered | TooFewShards] = []
         now_ms = self.world.timers.now_ms()
         terms = GatherTerms(
             "route",
-            ShardSet(SHARDS, 2, least),
+            ShardSet(SHARDS, 2, min_coverage),
             100.0,
             now_ms + 90.0,
             self.world.terms(hedge_ms=hedge_ms, control=control),
         )
-        self.gathering = Gathering(
+        self.search = ScatterGather(
             self.world.around,
             REQUEST,
             terms,
             self.world.delays,
-            self.far.search,
+            self.delegated.delegation,
             self.ends.append,
             Story("r1", self.world.timers.now_ms),
         )
-        self.gathering.start()
+        self.search.start()
 
     def answer(self, *services: str) -> None:
         for attempt in list(self.world.attempts):
--- a/rhubarbhinge/gather/tests/test_ended_searchers.py
+++ b/rhubarbhinge/gather/tests/test_ended_searchers.py
@@ -6,19 +6,19 @@
 """
 
 from rhubarbhinge.forward import Lost, NotRun, Why
-from rhubarbhinge.gather import EndedSearcher, FarNews, FarSearch
-from rhubarbhinge.gather.tests.gathering_case import SHARDS, GatheringCase
+from rhubarbhinge.gather import EndedSearcher, FarNews, ShardDelegation
+from rhubarbhinge.gather.tests.scatter_gather_case import SHARDS, ScatterGatherCase
 from rhubarbhinge.quarantine import RequestWatch
 
 
-class EndedSearchersTest(GatheringCase):
+class EndedSearchersTest(ScatterGatherCase):
     """A search whose searchers end: what is sent on, and what others get."""
 
     def start(self, one_first: bool = False, **more: object) -> None:
         self.marks: list[tuple[int, ...]] = []
         self.watch = RequestWatch(
             one_first,
-            lambda: self.gathering.cancel(),
+            lambda: self.search.cancel(),
             lambda: None,
             lambda watch, marks: self.marks.append(marks),
         )
@@ -75,30 +75,30 @@
 
     def test_what_another_entry_wants_waits_and_is_granted_after_a_reply(self):
         address = "10.0.0.9"
-        self.start(far={address: ["s2", "s3"]})
+        self.start(delegated={address: ["s2", "s3"]})
         self.end_searchers("s0", "s1")
         ended = FarNews((EndedSearcher("s2", 7), EndedSearcher("s3", 8)))
-        self.assertEqual(self.far.news[address](("s2", "s3"), ended), ())
+        self.assertEqual(self.delegated.report_attempts[address](("s2", "s3"), ended), ())
         self.answer("s0")
-        self.assertEqual(self.far.granted, ["s2", "s3"])
+        self.assertEqual(self.delegated.granted, ["s2", "s3"])
 
     def test_a_reply_at_another_entry_lets_shards_go_on_here(self):
         address = "10.0.0.9"
-        self.start(far={address: ["s2", "s3"]})
+        self.start(delegated={address: ["s2", "s3"]})
         self.end_searchers("s0", "s1")
         sent = len(self.world.attempts)
-        self.assertEqual(self.far.news[address]((), FarNews((), replied=True)), ())
+        self.assertEqual(self.delegated.report_attempts[address]((), FarNews((), replied=True)), ())
         self.assertEqual(len(self.world.attempts), sent + 1)
 
     def test_searchers_that_end_at_another_entry_stop_the_search_here(self):
         address = "10.0.0.9"
-        self.start(far={address: ["s2", "s3"]})
-        news = self.far.news[address]
-        self.assertEqual(news(("s2",), FarNews((EndedSearcher("s2", 7),))), ("s2",))
+        self.start(delegated={address: ["s2", "s3"]})
+        report_attempts = self.delegated.report_attempts[address]
+        self.assertEqual(report_attempts(("s2",), FarNews((EndedSearcher("s2", 7),))), ("s2",))
         self.end_searchers("s0")
-        self.assertEqual(news((), FarNews((EndedSearcher("s2", 9),))), ())
+        self.assertEqual(report_attempts((), FarNews((EndedSearcher("s2", 9),))), ())
         self.assertEqual(self.marks, [(7, self.mark("s0"), 9)])
-        self.assertEqual(self.far.cancelled, 1)
+        self.assertEqual(self.delegated.cancelled, 1)
 
     def mark(self, service: str) -> int:
         attempt = next(one for one in self.world.attempts if one.service == service)
@@ -130,13 +130,13 @@
     def test_shards_that_are_lost_while_a_trial_runs_are_left_out(self):
         asked = []
         self.start(one_first=True)
-        shards_for = self.far.search.shards_for
+        shards_for = self.delegated.delegation.shards_for
 
-        def noting(request, terms, served):
+        def recording(request, terms, served):
             asked.extend(served)
             return shards_for(request, terms, served)
 
-        self.gathering._far = FarSearch(noting, self.far.search.ask)
+        self.search._delegation = ShardDelegation(recording, self.delegated.delegation.ask)
         for name in ("s3-1", "s3-2"):
             self.world.observed(name).on_unreachable()
         self.answer("s0")
