--- a/rhubarbhinge/gather/__init__.py
+++ b/rhubarbhinge/gather/__init__.py
@@ -1,4 +1,4 @@
-"""Searches: one request to every shard, merged into one answer."""
+"""Scatter-gather searches: one request to every shard, replies merged into one answer."""
 
 from rhubarbhinge.gather._gather_terms import GatherTerms
 from rhubarbhinge.gather._merge import RECORD_BYTES, merge_greatest
@@ -16,17 +16,17 @@
 
 __all__ = [
     "RECORD_BYTES",
-    "EndedSearcher",
     "DelegatedSearch",
+    "EndedSearcher",
     "FarNews",
-    "PartialResult",
-    "ShardDelegation",
     "GatherTerms",
     "Gathered",
-    "ScatterGather",
     "GrantAttempts",
-    "TooFewShards",
+    "PartialResult",
+    "ScatterGather",
     "ShardCalls",
+    "ShardDelegation",
     "ShardEnd",
+    "TooFewShards",
     "merge_greatest",
 ]
--- a/rhubarbhinge/gather/_gather_terms.py
+++ b/rhubarbhinge/gather/_gather_terms.py
@@ -1,4 +1,4 @@
-"""What is granted to one search."""
+"""Limits and deadlines of one search."""
 
 from msgspec import Struct
 
@@ -7,13 +7,13 @@
 
 
 class GatherTerms(Struct, frozen=True):
-    """What is granted to one search.
+    """Limits and deadlines of one search.
 
-    :param route_name: name of its route.
-    :param shards: the shards of the plan that it was read under.
+    :param route_name: name of the route.
+    :param shards: the shards according to the plan under which the request was accepted.
     :param target_latency_ms: the route's latency objective.
-    :param answer_by_ms: when it is answered with what there is, if that is enough.
-    :param call: what is granted to the call to each shard.
+    :param answer_by_ms: time at which a partial answer is sent if enough shards have replied.
+    :param call: limits and deadlines of the call to each shard.
     """
 
     route_name: str
--- a/rhubarbhinge/gather/_merge.py
+++ b/rhubarbhinge/gather/_merge.py
@@ -1,17 +1,17 @@
-"""Merging of records."""
+"""Merging of the records of several replies."""
 
 from collections.abc import Iterable
 
 RECORD_BYTES = 16
-"""Size of one record; what is left at the end of a reply and is shorter is none."""
+"""Size of one record; a shorter remainder at the end of a reply is ignored."""
 
 
 def merge_greatest(parts: Iterable[bytes], count: int) -> bytes:
-    """Merge the greatest records of several replies; equal records all count.
+    """Merge the greatest records of several replies, keeping duplicates.
 
-    :param parts: records in no particular order, ``RECORD_BYTES`` each.
-    :param count: most records to keep.
-    :returns: the greatest records, compared byte by byte, greatest first.
+    :param parts: bodies of replies, each a sequence of unordered ``RECORD_BYTES``-byte records.
+    :param count: maximum number of records to keep.
+    :returns: the greatest records in descending byte order.
     """
     records = [
         part[start : start + RECORD_BYTES]
--- a/rhubarbhinge/gather/_results.py
+++ b/rhubarbhinge/gather/_results.py
@@ -1,15 +1,16 @@
-"""How a search came out."""
+"""Outcomes of a search."""
 
 from msgspec import Struct
 
 
 class Gathered(Struct, frozen=True):
-    """A success.
+    """A search that enough shards answered.
 
-    :param signatures: those of the replies that are in it.
-    :param missing: names of the shards that are not.
+    :param signatures: signatures of the merged replies.
+    :param missing: names of the shards whose replies are not included.
     :param body: the merged records.
-    :param by_time: whether the time to answer has decided, and not that all had ended.
+    :param at_due_time: whether the search ended because the answer was due, with shards still
+        pending.
     """
 
     signatures: tuple[str, ...]
@@ -19,11 +20,11 @@
 
 
 class TooFewShards(Struct, frozen=True):
-    """Too few shards answered, or can.
+    """A search that too few shards answered or can still answer.
 
     :param missing: names of the shards that did not answer.
-    :param may_have_run: whether any searcher has executed the search.
-    :param timed_out: whether the time was over.
+    :param may_have_run: whether any searcher may have executed the search.
+    :param timed_out: whether the search reached its deadline.
     """
 
     missing: tuple[str, ...]
--- a/rhubarbhinge/gather/_scatter_gather.py
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -1,4 +1,4 @@
-"""One search under way."""
+"""A search over all shards of a route."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -18,15 +18,15 @@
 
 
 class ScatterGather:
-    """One search under way.
+    """One search, sent to every shard and answered with the merged replies.
 
-    :param surroundings: what requests share.
+    :param context: state shared by all requests.
     :param request: the caller's request.
-    :param terms: what is granted.
-    :param delays: the usual delays of such requests at one shard.
-    :param far: how other entries are asked for the shards near them.
-    :param on_end: told the result, once and later than the start.
-    :param story: keeps what is decided.
+    :param terms: limits and deadlines of the search.
+    :param delays: typical reply times of a single shard on this route.
+    :param delegation: delegates shards to other entries.
+    :param on_end: called once with the result, never from within :meth:`start`.
+    :param request_log: records the steps of the request for the log.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._timer = None
 
     def start(self) -> None:
-        """Send to every shard, unless too few have a searcher."""
+        """Send the request to every shard, or fail if too few shards have a reachable searcher."""
         context, shards = self._context, self._terms.shards
         reachable = [name for name in shards.services if context.fleet.is_reachable(name)]
         if not shards.is_enough(len(reachable)):
@@ -75,7 +75,7 @@
             self._send(reachable)
 
     def _send_to_one(self) -> None:
-        """Send to one shard, before any other gets a request that may end its searchers."""
+        """Send to a single shard first, as the request may end the searchers that execute it."""
         service = self._unsent.pop(0)
         self._context.budget.on_request((service,))
         self._calls.start((service,))
@@ -91,7 +91,7 @@
         self._calls.start(local)
 
     def cancel(self) -> None:
-        """Give the search up; its result is not told."""
+        """Cancel the search without reporting a result."""
         self._finished = True
         if self._timer is not None:
             self._timer.cancel()
@@ -102,7 +102,7 @@
             ask.cancel()
 
     def time_out(self) -> None:
-        """Finish now, with what there is."""
+        """Finish at the deadline with the replies received so far."""
         if self._finished:
             return
         if self._terms.shards.is_enough(len(self._signatures)):
@@ -126,9 +126,10 @@
     def _grant_attempts(
         self, address: str, wanted: tuple[str, ...], report: FarNews
     ) -> tuple[str, ...]:
-        """Let another entry send shards to one more searcher, as far as the route has attempts.
+        """Grant another entry one more attempt at shards, up to the attempt limit of the route.
 
-        What is granted counts as executed from then on, also if the entry is never heard again.
+        A granted attempt counts as executed from then on, even if the entry is never heard from
+        again.
         """
         for ended in report.ended:
             self._control.on_ended(ended.service, ended.mark)
@@ -165,7 +166,7 @@
             if part is None or name not in part.pending:
                 self._control.on_over(name)
         if part is None or not _is_valid(part, services):
-            # Records of other shards can't be taken out of a part again.
+            # The records of unexpected shards cannot be separated from the rest of the part.
             ask.cancel()
             self._may_have_run = True
             self._calls.start(services, prior_attempts=self._delegated_attempts)
@@ -193,7 +194,7 @@
         self._finish_if_possible()
 
     def _send_remaining(self) -> None:
-        """Send to the other shards once a searcher has replied; try another one if none could."""
+        """Send to the remaining shards after a first reply; until then, try the next shard."""
         if self._control.one_first:
             self._send_to_one()
         else:
@@ -202,7 +203,11 @@
             self._send([name for name in unsent if is_reachable(name)])
 
     def _finish_if_possible(self) -> None:
-        """Finish if all has ended, if it is late and there is enough, or if there can't be."""
+        """Finish the search if it is complete, overdue or unable to succeed.
+
+        It fails as soon as too few shards can still reply. It is answered once no shard is pending,
+        or once enough shards have replied and the answer is due.
+        """
         shards = self._terms.shards
         pending = self._open_shards()
         if not shards.is_enough(len(self._signatures) + pending):
@@ -223,7 +228,7 @@
         body = merge_greatest(self._bodies, self._terms.shards.top_k)
         signatures = tuple(self._signatures.values())
         self._finished = True
-        # The caller comes first: to cancel what is open takes milliseconds when many are missing.
+        # Answers the caller first: cancelling many pending shards takes milliseconds.
         self._on_end(Gathered(signatures, self._missing(), body, at_due_time))
         self.cancel()
 
@@ -238,6 +243,6 @@
 
 
 def _is_valid(part: PartialResult, services: list[str]) -> bool:
-    """Tell whether a part is about shards that were asked for, each of them once."""
+    """Check that a part covers only shards that were delegated, each at most once."""
     reported = (*part.services, *part.pending)
     return len(set(reported)) == len(reported) and set(services).issuperset(reported)
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -1,4 +1,4 @@
-"""One request to each of some shards."""
+"""Concurrent calls of one request to several shards."""
 
 from collections.abc import Callable, Iterable, Mapping
 from types import MappingProxyType
@@ -18,16 +18,16 @@
 )
 
 NO_PRIOR_ATTEMPTS: Mapping[str, int] = MappingProxyType({})
-"""No searcher has had the request before."""
+"""Used for shards whose searchers have not received the request before."""
 
 
 class ShardEnd(Struct, frozen=True):
-    """How the call to one shard came out.
+    """Outcome of the call to one shard.
 
     :param service: the shard.
-    :param reply: its records; None when it gave none.
-    :param arrived: whether the request may have arrived at a searcher.
-    :param may_have_run: whether a searcher may have executed it.
+    :param reply: the signed reply with the shard's records; None if there was none.
+    :param arrived: whether the request may have reached a searcher.
+    :param may_have_run: whether a searcher may have executed the request.
     """
 
     service: str
@@ -37,14 +37,14 @@
 
 
 class ShardCalls:
-    """One request to each of some shards.
+    """Concurrent calls of one request to several shards.
 
-    :param surroundings: what requests share.
+    :param context: state shared by all requests.
     :param request: the caller's request.
-    :param terms: what is granted to the call to each shard.
-    :param delays: the usual delays of such requests at one shard.
-    :param on_end: told how each call came out, later than its start.
-    :param story: keeps what is decided.
+    :param terms: limits and deadlines of the call to each shard.
+    :param delays: typical reply times of a single shard on this route.
+    :param on_end: called with the outcome of each call, never from within :meth:`start`.
+    :param request_log: records the steps of the request for the log.
     """
 
     def __init__(
@@ -66,27 +66,28 @@
 
     @property
     def open(self) -> int:
-        """How many calls are under way."""
+        """Number of pending calls."""
         return len(self._calls)
 
     @property
     def services(self) -> tuple[str, ...]:
-        """The shards whose calls are under way."""
+        """Shards with a pending call."""
         return tuple(self._calls)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a searcher may be executing one of the calls under way."""
+        """Whether a searcher may be executing one of the pending calls."""
         return any(call.may_have_run for call in self._calls.values())
 
     def start(
         self, services: Iterable[str], prior_attempts: Mapping[str, int] = NO_PRIOR_ATTEMPTS
     ) -> None:
-        """Send to shards.
+        """Send the request to shards.
 
         :param services: the shards.
-        :param ran: how many searchers of a shard may have executed the request before; the retry
-            budget has to grant what comes after them, and they count among the attempts.
+        :param prior_attempts: for each shard, how many searchers may have executed the request
+            before. These count towards the attempt limit, and further attempts are charged to the
+            retry budget.
         """
         calls = [
             ServiceCall(
@@ -106,7 +107,7 @@
             call.start()
 
     def cancel(self) -> None:
-        """Give up all calls under way."""
+        """Cancel all pending calls."""
         calls, self._calls = self._calls, {}
         for call in calls.values():
             call.cancel()
--- a/rhubarbhinge/gather/_shard_delegation.py
+++ b/rhubarbhinge/gather/_shard_delegation.py
@@ -1,4 +1,4 @@
-"""How other entries are asked for the shards near them."""
+"""Delegation of parts of a search to other entries."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -10,13 +10,13 @@
 
 
 class PartialResult(Struct, frozen=True):
-    """What another entry found in the shards near it.
+    """Result of the shards delegated to another entry, or of some of them.
 
     :param services: shards whose records are in the body.
     :param signatures: the signatures of their replies, in the same order.
-    :param untried: shards for which nothing arrived at a searcher.
-    :param pending: shards that it is still searching; further parts tell of them.
-    :param may_have_run: whether any searcher has executed the search.
+    :param untried: shards for which the request reached no searcher.
+    :param pending: shards still being searched; their results follow in later parts.
+    :param may_have_run: whether any searcher may have executed the search.
     :param body: the greatest records of these shards.
     """
 
@@ -29,10 +29,10 @@
 
 
 class EndedSearcher(Struct, frozen=True):
-    """A searcher whose process ended while it had a request.
+    """A searcher whose process ended while it was handling a request.
 
     :param service: its service.
-    :param mark: :attr:`rhubarbhinge.fleet.SearcherStart.mark` of it.
+    :param mark: its :attr:`rhubarbhinge.fleet.SearcherStart.mark`.
     """
 
     service: str
@@ -40,9 +40,9 @@
 
 
 class FarNews(Struct, frozen=True):
-    """How the attempts of another entry fare.
+    """Progress of the attempts made by another entry.
 
-    :param ended: searchers that ended while they had the request, and were not told of before.
+    :param ended: searchers that ended while handling the request and were not reported before.
     :param replied: whether any searcher has executed the request and replied.
     """
 
@@ -51,36 +51,36 @@
 
 
 class DelegatedSearch(Protocol):
-    """Handle of an ask to another entry."""
+    """Handle of shards delegated to another entry."""
 
     def grant(self, services: tuple[str, ...]) -> None:
-        """Let shards go to one more searcher, for which that was not granted when it was wanted.
+        """Grant one more attempt at shards for which it was denied when requested.
 
         :param services: the shards.
         """
 
     def cancel(self) -> None:
-        """Give the ask up."""
+        """Cancel the delegated search."""
 
 
 AssignShards = Callable[[CallerRequest, GatherTerms, Iterable[str]], dict[str, list[str]]]
-"""Tells which of some shards to leave to which other entry: lists of shards by its address."""
+"""Selects the shards to delegate; returns lists of shards by the address of the other entry."""
 OnPartialResult = Callable[[PartialResult | None], None]
-"""Told each part, the last one without pending shards; or None when the entry failed."""
+"""Called with each part, of which the last has no pending shards; None if the entry failed."""
 GrantAttempts = Callable[[tuple[str, ...], FarNews], tuple[str, ...]]
-"""Given the shards that the other entry wants to send to one more searcher, and how its attempts
-fare, tells for which of them it may now."""
+"""Called with the shards for which the other entry requests one more attempt and the progress of
+its attempts so far; returns the shards for which the attempt is granted."""
 DelegateShards = Callable[
     [str, CallerRequest, GatherTerms, list[str], OnPartialResult, GrantAttempts], DelegatedSearch
 ]
-"""Asks the entry at an address to search shards, at one searcher each until more is granted."""
+"""Asks the entry at an address to search shards, with one attempt each until more are granted."""
 
 
 class ShardDelegation(Struct, frozen=True):
-    """How other entries are asked.
+    """Delegates shards to other entries.
 
-    :param shards_for: tells which shards to leave to which entry.
-    :param ask: asks an entry.
+    :param shards_for: selects which shards to delegate to which entry.
+    :param ask: asks an entry to search shards.
     """
 
     shards_for: AssignShards
--- a/rhubarbhinge/gather/tests/scatter_gather_case.py
+++ b/rhubarbhinge/gather/tests/scatter_gather_case.py
@@ -1,4 +1,4 @@
-"""A search over four shards, with other entries and searchers that a test decides on."""
+"""Test case base for searches over four shards, with fake searchers and other entries."""
 
 import unittest
 
@@ -18,9 +18,9 @@
 
 
 class FakeDelegation:
-    """Other entries, to which a test leaves shards.
+    """Fake other entries, whose results are provided by the test.
 
-    :param by_address: which shards go to which entry.
+    :param by_address: shards delegated to each entry.
     """
 
     def __init__(self, by_address: dict[str, list[str]]):
--- a/rhubarbhinge/gather/tests/test_ended_searchers.py
+++ b/rhubarbhinge/gather/tests/test_ended_searchers.py
@@ -1,8 +1,8 @@
-"""A search whose searchers end: what is sent on, and what others get.
+"""Tests for searches whose searcher processes end while handling them.
 
-The load: a search that ends each searcher that begins it, over shards of two searchers, some of
-them left to another entry. Beside it good searches that lose half of their first searchers, or all
-of them, to a crash.
+Guards against a fatal search, one that ends every searcher that executes it, taking down both
+searchers of all shards. The shards have two searchers each, and some are delegated to another
+entry. Harmless searches that lose half or all of their first searchers to a crash must complete.
 """
 
 from rhubarbhinge.forward import Lost, NotRun, Why
@@ -12,8 +12,6 @@
 
 
 class EndedSearchersTest(ScatterGatherCase):
-    """A search whose searchers end: what is sent on, and what others get."""
-
     def start(self, one_first: bool = False, **more: object) -> None:
         self.marks: list[tuple[int, ...]] = []
         self.watch = RequestWatch(
@@ -25,14 +23,14 @@
         super().start(control=self.watch, **more)
 
     def end_searchers(self, *services: str) -> None:
-        """End the searchers that have one of the shards at the moment."""
+        """End the searchers that are currently handling the given shards."""
         for attempt in list(self.world.attempts):
             if attempt.service in services and not attempt.cancelled and not attempt.ended:
                 attempt.ended = True
                 self.world.observed(attempt.name).on_unreachable()
                 attempt.end(Lost(Why.BROKEN, searcher_ended=True))
 
-    def test_each_shard_loses_one_searcher_and_one_of_them_two(self):
+    def test_fatal_request_ends_one_searcher_per_shard_and_one_more(self):
         self.start()
         self.end_searchers(*SHARDS)
         self.assertEqual(len(self.world.attempts), len(SHARDS) + 1)
@@ -40,8 +38,8 @@
         self.assertEqual(len(self.world.attempts), len(SHARDS) + 1)
         self.assertEqual(len(self.marks[0]), len(SHARDS) + 1)
 
-    def test_hedges_before_any_reply_leave_most_shards_their_second_searcher(self):
-        """Guards against a request that ends both searchers of all shards by its hedges."""
+    def test_only_two_hedges_are_sent_before_the_first_reply(self):
+        """Guards against hedges that let a request end both searchers of all shards."""
         self.start(hedge_ms=20.0)
         self.world.timers.advance(30.0)
         self.assertEqual(len(self.world.attempts), len(SHARDS) + 2)
@@ -49,7 +47,7 @@
         self.assertEqual(len(self.world.attempts), len(SHARDS) + 2)
         self.assertEqual(len(self.marks), 1)
 
-    def test_hedges_of_a_good_search_all_go_at_the_first_reply(self):
+    def test_all_hedges_are_sent_after_the_first_reply(self):
         self.start(hedge_ms=20.0)
         self.world.timers.advance(30.0)
         self.answer("s3")
@@ -58,14 +56,14 @@
         self.answer(*SHARDS)
         self.assertEqual(self.ends[0].missing, ())
 
-    def test_a_search_that_loses_half_of_its_searchers_to_a_crash_is_whole(self):
+    def test_search_completes_after_half_of_its_searchers_crash(self):
         self.start()
         self.end_searchers("s0", "s1")
         self.answer(*SHARDS)
         self.answer(*SHARDS)
         self.assertEqual(self.ends[0].missing, ())
 
-    def test_a_search_that_loses_all_its_first_searchers_to_a_crash_is_whole(self):
+    def test_search_completes_after_all_first_searchers_crash(self):
         self.start()
         self.end_searchers(*SHARDS)
         self.answer("s0")
@@ -73,7 +71,7 @@
         self.answer(*SHARDS)
         self.assertEqual(self.ends[0].missing, ())
 
-    def test_what_another_entry_wants_waits_and_is_granted_after_a_reply(self):
+    def test_attempts_of_another_entry_are_granted_after_a_reply(self):
         address = "10.0.0.9"
         self.start(delegated={address: ["s2", "s3"]})
         self.end_searchers("s0", "s1")
@@ -82,7 +80,7 @@
         self.answer("s0")
         self.assertEqual(self.delegated.granted, ["s2", "s3"])
 
-    def test_a_reply_at_another_entry_lets_shards_go_on_here(self):
+    def test_reply_at_another_entry_allows_further_attempts_here(self):
         address = "10.0.0.9"
         self.start(delegated={address: ["s2", "s3"]})
         self.end_searchers("s0", "s1")
@@ -90,7 +88,7 @@
         self.assertEqual(self.delegated.report_attempts[address]((), FarNews((), replied=True)), ())
         self.assertEqual(len(self.world.attempts), sent + 1)
 
-    def test_searchers_that_end_at_another_entry_stop_the_search_here(self):
+    def test_searchers_ended_at_another_entry_stop_the_search_here(self):
         address = "10.0.0.9"
         self.start(delegated={address: ["s2", "s3"]})
         report_attempts = self.delegated.report_attempts[address]
@@ -104,7 +102,7 @@
         attempt = next(one for one in self.world.attempts if one.service == service)
         return attempt.exchange.searcher.start.mark
 
-    def test_a_trial_goes_to_one_searcher_and_on_to_all_after_its_reply(self):
+    def test_one_first_search_goes_to_all_shards_after_the_first_reply(self):
         self.start(one_first=True)
         self.assertEqual(len(self.world.attempts), 1)
         self.answer(*SHARDS)
@@ -112,12 +110,12 @@
         self.answer(*SHARDS)
         self.assertEqual(self.ends[0].missing, ())
 
-    def test_a_trial_whose_searcher_ends_goes_to_no_other(self):
+    def test_one_first_search_stops_when_its_searcher_ends(self):
         self.start(one_first=True)
         self.end_searchers(*SHARDS)
         self.assertEqual((len(self.world.attempts), len(self.marks[0])), (1, 1))
 
-    def test_a_trial_that_no_searcher_takes_goes_to_another_shard(self):
+    def test_one_first_search_tries_another_shard_if_none_accepts(self):
         self.start(one_first=True)
         for name in ("s0-1", "s0-2"):
             self.world.fleet.mark_gone(self.world.observed(name))
@@ -127,7 +125,7 @@
         self.answer("s1")
         self.assertEqual({one.service for one in self.world.attempts}, set(SHARDS))
 
-    def test_shards_that_are_lost_while_a_trial_runs_are_left_out(self):
+    def test_shards_lost_during_a_one_first_search_are_skipped(self):
         asked = []
         self.start(one_first=True)
         shards_for = self.delegated.delegation.shards_for
--- a/rhubarbhinge/gather/tests/test_scatter_gather.py
+++ b/rhubarbhinge/gather/tests/test_scatter_gather.py
@@ -1,4 +1,4 @@
-"""Searches: when they are answered, and with what."""
+"""Tests for scatter-gather searches: when they are answered, and with what."""
 
 from rhubarbhinge.forward import NotRun, Story, Why
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
@@ -14,7 +14,7 @@
 
 
 class ScatterGatherTest(ScatterGatherCase):
-    def test_all_parts_are_merged(self):
+    def test_replies_of_all_shards_are_merged(self):
         self.start()
         self.answer(*SHARDS)
         end = self.ends[0]
@@ -22,7 +22,7 @@
         self.assertEqual(end.missing, ())
         self.assertEqual(end.body, b"s3" * 8 + b"s2" * 8)
 
-    def test_enough_is_answered_when_the_time_has_come(self):
+    def test_partial_answer_is_sent_when_due(self):
         self.start()
         self.answer("s0", "s1", "s2")
         self.world.timers.advance(89.0)
@@ -31,8 +31,8 @@
         self.assertEqual(self.ends[0].missing, ("s3",))
         self.assertTrue(all(a.cancelled for a in self.world.attempts if a.service == "s3"))
 
-    def test_the_answer_goes_before_what_is_still_open_is_cancelled(self):
-        # Closing the connections of ten missing shards takes an entry with half a core some 2 ms.
+    def test_answer_is_sent_before_pending_calls_are_cancelled(self):
+        # Closing the connections of ten missing shards takes about 2 ms on half a core.
         self.start(delegated={"10.0.0.9": ["s2"]})
         cancelled = []
 
@@ -48,7 +48,7 @@
         self.assertEqual(cancelled, [False, False, False, 0])
         self.assertEqual(self.delegated.cancelled, 1)
 
-    def test_too_little_waits_and_is_answered_as_soon_as_it_is_enough(self):
+    def test_overdue_answer_is_sent_once_enough_shards_reply(self):
         self.start()
         self.answer("s0", "s1")
         self.world.timers.advance(200.0)
@@ -56,14 +56,14 @@
         self.answer("s3")
         self.assertEqual(self.ends[0].missing, ("s2",))
 
-    def test_what_can_not_become_enough_fails_at_once(self):
+    def test_search_fails_once_too_few_shards_can_reply(self):
         self.start()
         for service in ("s0", "s0", "s1", "s1"):
             self.lose(service)
         self.assertEqual(self.ends, [TooFewShards(SHARDS, True)])
         self.assertTrue(all(a.cancelled for a in self.world.attempts if a.service == "s3"))
 
-    def test_shards_that_can_not_be_reached_refuse_without_a_send(self):
+    def test_too_few_reachable_shards_fail_without_sending(self):
         self.world = FakeWorld(services=SHARDS)
         self.start()
         self.search.cancel()
@@ -88,7 +88,7 @@
         self.assertEqual(ends, [TooFewShards(SHARDS, False)])
         self.assertEqual(len(world.attempts), sent)
 
-    def test_a_failure_with_a_signature_is_no_part(self):
+    def test_signed_error_replies_are_not_merged(self):
         self.start(min_coverage=0.5)
         for attempt in list(self.world.attempts):
             if attempt.service == "s0":
@@ -98,7 +98,7 @@
         self.answer("s1", "s2", "s3")
         self.assertEqual(self.ends[0].missing, ("s0",))
 
-    def test_refusals_by_all_shards_are_not_run(self):
+    def test_search_refused_by_all_shards_was_not_run(self):
         self.start(min_coverage=0.25)
         for _ in range(8):
             for attempt in list(self.world.attempts):
@@ -106,13 +106,13 @@
             self.world.timers.advance(25.0)
         self.assertEqual(self.ends, [TooFewShards(SHARDS, False)])
 
-    def test_the_deadline_ends_it_with_what_there_is(self):
+    def test_deadline_ends_search_with_too_few_shards(self):
         self.start()
         self.answer("s0", "s1")
         self.search.time_out()
         self.assertEqual(self.ends, [TooFewShards(("s2", "s3"), True, timed_out=True)])
 
-    def test_another_entry_s_part_is_merged(self):
+    def test_part_of_another_entry_is_merged(self):
         self.start(delegated={"10.0.0.9": ["s2", "s3"]})
         self.assertEqual({attempt.service for attempt in self.world.attempts}, {"s0", "s1"})
         self.answer("s0", "s1")
@@ -122,7 +122,7 @@
         self.assertEqual(self.ends[0].signatures, ("sig-s0", "sig-s1", "f2", "f3"))
         self.assertEqual(self.ends[0].body, b"z" * 16 + b"s1" * 8)
 
-    def test_a_failed_entry_s_shards_are_asked_directly_by_the_budget(self):
+    def test_shards_of_a_failed_entry_are_resent_within_the_retry_budget(self):
         self.start(delegated={"10.0.0.9": ["s2", "s3"]}, slack=1.0)
         self.delegated.on_part["10.0.0.9"](None)
         self.answer(*SHARDS)
@@ -133,20 +133,20 @@
         self.assertEqual({attempt.service for attempt in self.world.attempts}, {"s0", "s1"})
         self.assertEqual(self.ends, [TooFewShards(SHARDS, True)])
 
-    def test_shards_that_the_other_entry_did_not_try_are_asked_without_budget(self):
+    def test_untried_shards_are_sent_without_using_the_retry_budget(self):
         self.start(delegated={"10.0.0.9": ["s2", "s3"]}, slack=0.0)
         self.delegated.on_part["10.0.0.9"](PartialResult(("s2",), ("f2",), ("s3",), (), True, b""))
         self.answer(*SHARDS)
         self.assertEqual(self.ends[0].missing, ())
 
-    def test_shards_that_another_entry_failed_at_are_not_asked_again(self):
-        # It has spent their attempts; asking here as well would exceed those of the route.
+    def test_shards_that_another_entry_failed_to_search_are_not_resent(self):
+        # The other entry has used their attempts; sending here too would exceed the route's limit.
         self.start(min_coverage=1.0, delegated={"10.0.0.9": ["s2", "s3"]})
         self.delegated.on_part["10.0.0.9"](PartialResult(("s2",), ("f2",), (), (), True, b""))
         self.assertEqual({attempt.service for attempt in self.world.attempts}, {"s0", "s1"})
         self.assertEqual(self.ends, [TooFewShards(("s0", "s1", "s3"), True)])
 
-    def test_shards_of_a_failed_entry_get_the_attempts_that_are_left(self):
+    def test_shards_of_a_failed_entry_get_only_remaining_attempts(self):
         self.start(min_coverage=0.5, delegated={"10.0.0.9": ["s3"]})
         self.delegated.on_part["10.0.0.9"](None)
         self.answer("s0", "s1", "s2")
@@ -155,7 +155,7 @@
         self.assertEqual(len(runs), 1)
         self.assertEqual(self.ends[0].missing, ("s3",))
 
-    def test_shards_that_a_failed_entry_had_leave_to_send_twice_are_not_sent_a_third_time(self):
+    def test_attempts_granted_to_a_failed_entry_count_as_used(self):
         self.start(min_coverage=0.5, delegated={"10.0.0.9": ["s2", "s3"]})
         self.assertEqual(self.delegated.grant_attempts["10.0.0.9"](("s3",)), ("s3",))
         self.delegated.on_part["10.0.0.9"](None)
@@ -163,13 +163,13 @@
         services = [attempt.service for attempt in self.world.attempts]
         self.assertEqual(services, ["s0", "s1", "s2"])
 
-    def test_another_entry_gets_leave_for_no_more_attempts_than_the_route_has(self):
+    def test_grants_are_limited_to_the_attempts_of_the_route(self):
         self.start(min_coverage=0.5, delegated={"10.0.0.9": ["s2", "s3"]})
         grant_attempts = self.delegated.grant_attempts["10.0.0.9"]
         self.assertEqual(grant_attempts(("s2", "s0", "x")), ("s2",))
         self.assertEqual(grant_attempts(("s2", "s3")), ("s3",))
 
-    def test_an_entry_whose_ask_is_over_gets_no_leave(self):
+    def test_no_attempts_are_granted_after_the_delegated_search_ended(self):
         self.start(min_coverage=0.5, delegated={"10.0.0.9": ["s2", "s3"]})
         grant_attempts = self.delegated.grant_attempts["10.0.0.9"]
         self.delegated.on_part["10.0.0.9"](PartialResult(("s2",), ("f2",), (), ("s3",), True, b""))
@@ -177,7 +177,7 @@
         self.delegated.on_part["10.0.0.9"](None)
         self.assertEqual(grant_attempts(("s3",)), ())
 
-    def test_shards_that_another_entry_still_searches_are_waited_for(self):
+    def test_pending_shards_of_another_entry_are_awaited(self):
         self.start(min_coverage=1.0, delegated={"10.0.0.9": ["s2", "s3"]}, slack=0.0)
         self.answer("s0", "s1")
         self.delegated.on_part["10.0.0.9"](
@@ -190,14 +190,14 @@
         self.assertEqual(self.ends[0].body, b"z" * 16 + b"y" * 16)
         self.assertEqual(len(self.world.attempts), 2)
 
-    def test_an_entry_that_fails_later_leaves_the_shards_that_it_had_not_told_of(self):
+    def test_pending_shards_of_an_entry_that_fails_later_are_resent(self):
         self.start(min_coverage=1.0, delegated={"10.0.0.9": ["s2", "s3"]})
         self.answer("s0", "s1")
         self.delegated.on_part["10.0.0.9"](PartialResult(("s2",), ("f2",), (), ("s3",), True, b""))
         self.delegated.on_part["10.0.0.9"](None)
         self.assertEqual([attempt.service for attempt in self.world.attempts[2:]], ["s3"])
 
-    def test_a_shard_that_a_part_both_has_and_waits_for_makes_it_unsound(self):
+    def test_part_with_a_shard_both_answered_and_pending_is_rejected(self):
         self.start(delegated={"10.0.0.9": ["s2", "s3"]})
         self.delegated.on_part["10.0.0.9"](
             PartialResult(("s2",), ("f2",), (), ("s2",), True, b"z" * 16)
@@ -205,7 +205,7 @@
         self.answer(*SHARDS)
         self.assertNotIn("f2", self.ends[0].signatures)
 
-    def test_a_part_with_shards_that_were_not_asked_for_is_not_taken(self):
+    def test_part_with_shards_not_delegated_is_rejected(self):
         self.start(delegated={"10.0.0.9": ["s3"]})
         self.delegated.on_part["10.0.0.9"](
             PartialResult(("s3", "s0"), ("f3", "f0"), (), (), True, b"z" * 16)
@@ -214,7 +214,7 @@
         self.assertEqual(sorted(self.ends[0].signatures), [f"sig-{name}" for name in SHARDS])
         self.assertEqual(self.ends[0].body, b"s3" * 8 + b"s2" * 8)
 
-    def test_cancelling_stops_searchers_and_entries(self):
+    def test_cancel_stops_searchers_and_other_entries(self):
         self.start(delegated={"10.0.0.9": ["s2", "s3"]})
         self.search.cancel()
         self.assertEqual(self.delegated.cancelled, 1)
