--- a/rhubarbhinge/gateway/__init__.py
+++ b/rhubarbhinge/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The program that answers callers from published plans."""
+"""The gateway process (entry), which serves callers according to published plans."""
 
 from rhubarbhinge.gateway._address import Address
 from rhubarbhinge.gateway._answer_lead_time import AnswerLeadTime
--- a/rhubarbhinge/gateway/_address.py
+++ b/rhubarbhinge/gateway/_address.py
@@ -1,10 +1,10 @@
-"""Where something listens."""
+"""A listening address."""
 
 from typing import NamedTuple
 
 
 class Address(NamedTuple):
-    """Where something listens.
+    """A listening address.
 
     :ivar ip: the IP address.
     :ivar port: the port.
--- a/rhubarbhinge/gateway/_answer_lead_time.py
+++ b/rhubarbhinge/gateway/_answer_lead_time.py
@@ -1,4 +1,4 @@
-"""How long before it is due an answer has to be begun."""
+"""Lead time of answers: how long before its due time an answer has to be started."""
 
 from collections import deque
 from collections.abc import Callable
@@ -6,28 +6,29 @@
 from rhubarbhinge.web import Response
 
 DEFAULT_DELAY_MS = 2.0
-"""Delay between the time to answer and the answer's write, before any was seen."""
+"""Assumed delay between starting an answer and writing it, before enough were measured."""
 DELAY_WINDOW = 64
+"""Number of recent delays that are kept."""
 MIN_DELAYS = 8
-"""Fewer delays than these say too little."""
+"""Number of measured delays below which the default is used."""
 DELAY_QUANTILE = 0.9
-"""Of ten answers one may be written later than was allowed for. What is allowed for costs the
-shards that would have come meanwhile."""
+"""Quantile of the measured delays that is used: one answer in ten may be written late. A longer
+lead time leaves out the shards that would have replied meanwhile."""
 MAX_LEAD_MS = 20.0
-"""Most that is allowed for. An entry that is later than that is short of processor time, and
-answers with fewer shards would not help its callers."""
+"""Upper limit of the lead time. An entry with longer delays is short of processor time, and
+answering with fewer shards would not help its callers."""
 FIXED_HEAD_BYTES = 250
-"""Status line, length, date and the headers of the packets of an answer."""
+"""Assumed size of the status line, Content-Length and Date headers, and packet headers."""
 
 
 class AnswerLeadTime:
-    """How long before it is due an answer has to be begun, by what answers took before.
+    """Estimates the lead time of answers from the delays and sizes of earlier answers.
 
-    Two things come between the time to answer and the caller's having the answer, besides the round
-    trips: this process may be busy and has to merge and write it, and it has to pass this VM's
-    link, which is slow where VMs are small; the signatures alone are some kilobytes.
+    Besides the round trip, two delays precede the arrival of an answer at the caller: this process
+    may be busy and has to merge and write the answer, and the answer has to pass the network link
+    of this VM. The link is slow on small VMs, and the signatures alone take some kilobytes.
 
-    :param link_bits_per_ms: gives the rate of this VM's link; 0 when it is not known.
+    :param link_bits_per_ms: returns the rate of this VM's link, or 0 if it is unknown.
     """
 
     def __init__(self, link_bits_per_ms: Callable[[], float]):
@@ -36,15 +37,15 @@
         self._size_by_route: dict[str, int] = {}
 
     def lead_ms(self, route_name: str) -> float:
-        """Tell how long before it is due an answer has to be begun.
+        """Estimate how long before its due time an answer has to be started.
 
         :param route_name: the route.
-        :returns: the time.
+        :returns: the lead time.
         """
         return min(MAX_LEAD_MS, self._expected_delay_ms() + self._transfer_ms(route_name))
 
     def on_answered(self, route_name: str, answer: Response) -> None:
-        """Note an answer's size.
+        """Record the size of an answer.
 
         :param route_name: the route.
         :param answer: the answer.
@@ -53,16 +54,16 @@
         self._size_by_route[route_name] = FIXED_HEAD_BYTES + header_bytes + len(answer.body)
 
     def on_write_delay(self, delay_ms: float) -> None:
-        """Note how long after the time to answer an answer was written.
+        """Record the delay between the scheduled start of an answer and its write.
 
         :param delay_ms: the delay.
         """
         self._delays_ms.append(max(0.0, delay_ms))
 
     def retain(self, route_names: set[str]) -> None:
-        """Forget the routes that are gone.
+        """Discard the data of removed routes.
 
-        :param route_names: those that are left.
+        :param route_names: the routes that remain.
         """
         for name in self._size_by_route.keys() - route_names:
             del self._size_by_route[name]
--- a/rhubarbhinge/gateway/_call_terms.py
+++ b/rhubarbhinge/gateway/_call_terms.py
@@ -1,17 +1,18 @@
-"""What is granted to the calls of one request."""
+"""Limits and deadlines of the calls of one request."""
 
 from rhubarbhinge.delegation import Ask
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import CallTerms, SearchTerms
 
 HEDGE_QUANTILE = 0.92
-"""A request that takes longer than so many others is sent to a second searcher."""
+"""A request is hedged once it takes longer than this quantile of recent delays."""
 MIN_HEDGE_FRACTION = 0.12
-"""Hedges wait at least this part of the latency objective."""
+"""Minimum wait before a hedge, as a fraction of the latency objective."""
 MAX_HEDGE_FRACTION = 0.45
-"""Hedges wait at most this part of the latency objective, so that they still can be in time."""
+"""Maximum wait before a hedge, as a fraction of the latency objective, so that its reply can still
+be in time."""
 RETRY_FRACTION = 0.5
-"""Refusals are followed by further tries up to this part of the latency objective."""
+"""Refused requests are retried up to this fraction of the latency objective."""
 
 
 def call_terms(
@@ -28,21 +29,23 @@
     searcher: str = "",
     searcher_started_unix_ms: int | None = None,
 ) -> CallTerms:
-    """Work out what is granted to each call of a request.
+    """Compute the limits and deadlines of each call of a request.
 
     :param route_name: the route.
     :param target_latency_ms: the route's latency objective.
     :param idempotent: whether the request may be executed more than once.
-    :param max_attempts: most searchers that may execute it.
-    :param priority: its rank; 0 is the most urgent.
-    :param started_ms: when it was read.
-    :param deadline_ms: when the caller stops waiting.
-    :param delays: the usual delays of such requests.
-    :param due_ms: when a reply is due for the latency objective.
-    :param top_k: most records of an answer, for the calls of a search.
-    :param searcher: the only searcher that may get it; empty for any. Its refusal is told at once.
-    :param searcher_started_unix_ms: the only start of that searcher that may get it; None for any.
-    :returns: the terms.
+    :param max_attempts: maximum number of searchers that may execute the request.
+    :param priority: priority of the request; 0 is the most urgent.
+    :param started_ms: time at which the request was read.
+    :param deadline_ms: time at which the caller stops waiting.
+    :param delays: recent reply times on the route.
+    :param due_ms: time at which a reply has to arrive to meet the latency objective.
+    :param top_k: maximum number of records in the answer, for the calls of a search.
+    :param searcher: the only searcher that may receive the request, whose refusal is not retried;
+        empty for any searcher.
+    :param searcher_started_unix_ms: start time of the only process of that searcher that may
+        receive the request; None for any.
+    :returns: the limits and deadlines.
     """
     hedge_ms = min(
         MAX_HEDGE_FRACTION * target_latency_ms,
@@ -64,12 +67,12 @@
 
 
 def ask_terms(ask: Ask, delays: Delays, now_ms: float) -> CallTerms:
-    """Work out what is granted to each call of an ask of another entry.
+    """Compute the limits and deadlines of each call made on behalf of another entry.
 
-    :param ask: the ask.
-    :param delays: the usual delays of such requests.
-    :param now_ms: the time, when it has come.
-    :returns: the terms.
+    :param ask: the request of the other entry.
+    :param delays: recent reply times on the route.
+    :param now_ms: time at which the request arrived.
+    :returns: the limits and deadlines.
     """
     return call_terms(
         ask.route,
--- a/rhubarbhinge/gateway/_connection_limit.py
+++ b/rhubarbhinge/gateway/_connection_limit.py
@@ -1,4 +1,4 @@
-"""How many connections this entry may hold to a searcher."""
+"""Limit of the connections of this entry to each searcher."""
 
 import math
 from collections.abc import Callable
@@ -8,23 +8,24 @@
 from rhubarbhinge.published import Follower
 
 IN_FLIGHT_FACTOR = 3.0
-"""Requests that the entries of a searcher's domain send it at a time, in its slots: enough to keep
-it busy; what is more waits here, where it can be dropped when it is too late."""
+"""Concurrent requests that the entries of a searcher's failure domain send it, as a multiple of its
+slots. This keeps the searcher busy; further requests wait here, where they can be dropped once they
+are too late."""
 MIN_IN_FLIGHT = 2
-"""Requests that one entry may send to a searcher at a time, however many entries there are."""
+"""Concurrent requests that one entry may send to a searcher regardless of the number of entries."""
 DEFAULT_CONNECTIONS = 2
-"""Connections to a searcher whose service the plan does not name."""
+"""Connections to a searcher whose service is not in the plan."""
 
 
 def connection_limit(
     follower: Follower, membership: Membership, processes: Callable[[], int]
 ) -> Callable[[ObservedSearcher], int]:
-    """Share the connections of searchers among the live entries.
+    """Divide the connections that searchers accept among the live entries.
 
-    :param follower: knows the plan, which tells how many connections a searcher takes.
-    :param membership: knows the entries of each failure domain.
-    :param processes: gives how many entries there may be in all.
-    :returns: gives the most connections to a searcher.
+    :param follower: provides the plan, which contains the connection limit of each service.
+    :param membership: provides the entries of each failure domain.
+    :param processes: returns the maximum number of running entries.
+    :returns: function that returns the maximum number of connections to a searcher.
     """
 
     def limit(observed: ObservedSearcher) -> int:
--- a/rhubarbhinge/gateway/_domain_checks.py
+++ b/rhubarbhinge/gateway/_domain_checks.py
@@ -1,4 +1,4 @@
-"""Failure domains that may be out of reach, verified by a few connections."""
+"""Reachability checks of failure domains by a sample of connections."""
 
 import random
 from collections.abc import Callable
@@ -9,28 +9,31 @@
 from rhubarbhinge.timing import TimerService
 
 SAMPLE_SIZE = 3
-"""Searchers to which connections are opened, to find out whether their domain can be reached. Of a
-domain in which half of the searchers are down, one of three answers in seven cases of eight. All of
-195 entries together open some three to each of 174 searchers; one to each from every entry, as many
-as a domain has, are more than a searcher takes."""
+"""Number of searchers to which connections are opened to check whether their failure domain is
+reachable. If half of the searchers of a domain are down, at least one of three answers with a
+probability of 7/8. With this sample size, 195 entries together open about three connections to each
+of 174 searchers; if each entry connected to every searcher, the searchers would receive more
+connections than they accept."""
 VERIFY_TIMEOUT_MS = 30.0
-"""A domain none of whose sample has answered by then counts as out of reach. A connection takes 6
-ms and two crossings; one that takes longer ends the conclusion as soon as it is open."""
+"""A failure domain counts as unreachable if no searcher of the sample has answered within this
+time. Opening a connection takes 6 ms plus two network crossings; a connection that opens later
+makes the domain count as reachable again."""
 
 
 class DomainChecks:
-    """Verifies failure domains in which several hosts fell silent.
+    """Checks failure domains in which several hosts have become silent.
 
-    What is concluded holds for all searchers of a domain: when none of a sample can be reached, all
-    count as down, and when anything is heard from the domain again, all that were not found out one
-    by one are up again. So what a check costs does not grow with the domain.
+    The result applies to all searchers of a failure domain. If no searcher of a sample can be
+    reached, all count as down. As soon as anything is received from the domain again, all count as
+    up except those that were found down individually. The cost of a check therefore does not grow
+    with the size of the domain.
 
     :param timers: the timer service.
     :param fleet: the searchers.
-    :param pool: connections to them.
-    :param reach: which domains are heard from.
-    :param rng: draws the samples.
-    :param on_change: told when searchers of a domain went down or came back together.
+    :param pool: connections to the searchers.
+    :param reach: tracks which failure domains are heard from.
+    :param rng: selects the samples.
+    :param on_change: called when the searchers of a domain go down or come back together.
     """
 
     def __init__(
@@ -52,7 +55,7 @@
         self._down: dict[str, set[ObservedSearcher]] = {}
 
     def suspect(self, failure_domain: str) -> None:
-        """Verify a domain that may be out of reach.
+        """Check a failure domain that may be unreachable.
 
         :param failure_domain: the domain.
         """
@@ -72,7 +75,7 @@
         self._timers.after(VERIFY_TIMEOUT_MS, lambda: self._finish_check(failure_domain, since_ms))
 
     def on_heard(self, failure_domain: str) -> None:
-        """Use the searchers of a domain again from which something was heard.
+        """Use the searchers of a failure domain again, as something was received from it.
 
         :param failure_domain: the domain.
         """
@@ -86,7 +89,7 @@
         self._on_change()
 
     def probe(self) -> None:
-        """Try searchers that can't be reached; of a domain that is out of reach only a few."""
+        """Reconnect to unreachable searchers, but only to a sample in each unreachable domain."""
         in_unreachable_domains: set[ObservedSearcher] = set()
         for down in self._down.values():
             in_unreachable_domains |= down
--- a/rhubarbhinge/gateway/_endpoints.py
+++ b/rhubarbhinge/gateway/_endpoints.py
@@ -1,4 +1,4 @@
-"""What the balancer and operators ask an entry."""
+"""HTTP endpoints for the load balancer and for operators."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,11 @@
 
 
 def readiness_handler(path: Callable[[], str], is_ready: Callable[[], bool]) -> RequestCallback:
-    """Answer whether callers may be sent here.
+    """Create the handler of the load balancer's readiness checks.
 
-    :param path: gives the path that the balancer asks for.
-    :param is_ready: tells whether they may.
-    :returns: handles requests.
+    :param path: returns the path of the readiness check.
+    :param is_ready: returns whether the entry is ready to serve callers.
+    :returns: the request handler.
     """
 
     def handle(request: Request, responder: Responder) -> None:
@@ -29,11 +29,11 @@
 
 
 def metrics_handler(metrics: Metrics, entry_metrics: EntryMetrics) -> RequestCallback:
-    """Answer with all metrics.
+    """Create the handler of requests for metrics.
 
     :param metrics: the metrics.
-    :param figures: what is read when they are asked for.
-    :returns: handles requests.
+    :param entry_metrics: updates the metrics that are collected on request.
+    :returns: the request handler.
     """
 
     def handle(request: Request, responder: Responder) -> None:
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -1,4 +1,4 @@
-"""The process of an entry."""
+"""The components of an entry process."""
 
 import random
 import signal
@@ -36,38 +36,39 @@
 from rhubarbhinge.web import HttpClient, HttpLimits, HttpServer
 
 NO_PLAN_WAIT_MS = 600.0
-"""Callers wait this long for the first plan, which takes 30 ms; then they are refused at once."""
+"""Callers wait this long for the first plan, which takes 30 ms; afterwards they are refused."""
 HOUSEKEEPING_MS = 250.0
-"""How often an entry looks after its connections, its log, and whether it can serve; together, as
-each wake-up costs. Searchers that can't be reached are tried as often."""
+"""Interval of the periodic work on connections, log and serving state, and of reconnection attempts
+to unreachable searchers. The work is done together because each wake-up has a cost."""
 MAX_CALLER_CONNECTIONS = 2_500
-"""Callers' connections; the descriptors of a VM less those for searchers and files."""
+"""Maximum number of callers' connections: the file descriptors of a VM minus those needed for
+searchers and files."""
 NEVER_GZIP_BYTES = 1 << 62
-"""Searchers' bodies are passed on as they are."""
-INITIAL_PROCESSES = 8
-"""Entries that share limits while the others have not been heard of; the most of today's sites."""
+"""Disables compression, as the bodies of searchers are passed on unchanged."""
+ASSUMED_ENTRIES = 8
+"""Number of entries assumed to share limits until the others are known: the maximum at current
+sites."""
 MEMBERSHIP_SETTLE_MS = 3_000.0
-"""Within so long after its start an entry has heard of the others: several heartbeats."""
-
+"""Time after its start in which an entry learns of the others: several heartbeats."""
 LINK_CHECK_MS = 500.0
-"""How often an entry opens the links that it lacks to others of its failure domain. Callers may
-come as soon as it has a plan, and its first searches are to be split as all others."""
+"""Interval at which an entry opens missing links to others in its failure domain. Callers may
+arrive as soon as it has a plan, and its first searches should already be divided."""
 RELOAD_MS = 2_000.0
-"""How often the settings are read again, as they may change without a signal."""
+"""Interval at which the settings are reloaded, as they may change without a signal."""
 
 MakeSource = Callable[[HttpClient, Callable[[], Address]], Source]
-"""Makes a source from the client that it calls by and what gives the store's address."""
+"""Creates a source from an HTTP client and a function that returns the store's address."""
 
 
 class Entry(Component):
-    """An entry that answers callers by what the platform publishes.
+    """An entry, which serves callers according to the state published by the platform.
 
-    :param read_settings: reads its settings.
+    :param read_settings: reads the settings.
     :param dialect: translates messages of callers and searchers.
-    :param make_source: makes the reader of published state.
-    :param event_log: keeps events until there is time to write them; None if they go elsewhere.
-    :raises SettingsError: when the settings can not be used.
-    :raises OSError: when a port can not be bound.
+    :param make_source: creates the source of published state.
+    :param event_log: buffered event log, flushed periodically; None if events go elsewhere.
+    :raises SettingsError: if the settings are invalid.
+    :raises OSError: if a port cannot be bound.
     """
 
     channel = "entry"
@@ -114,7 +115,7 @@
             self._fleet,
             preference,
             self._budget,
-            lambda exchange, tell: self._far_sends.send(exchange, tell),
+            lambda exchange, on_outcome: self._far_sends.send(exchange, on_outcome),
             self._metrics,
             lambda observed, now_ms: self._warmup_limiter.may_send(observed, now_ms),
         )
@@ -188,7 +189,7 @@
             self._gateway.delays_of,
             (settings.ip, settings.ask_port),
         ).register(self)
-        # It listens from now on, and accepts once it is registered: when there is a plan.
+        # Listens already; accepts connections once registered, with the first plan or a timeout.
         self._callers = HttpServer(
             self.timers, self._gateway.handle, settings.callers, _limits(CallerLimits())
         )
@@ -242,7 +243,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the load balancer may send callers to this entry."""
         return not self._stopping and self._serving_state.is_serving
 
     def _settings_changed(self, settings: EntrySettings) -> None:
@@ -255,7 +256,7 @@
     def _processes(self) -> int:
         now_ms = self.timers.now_ms()
         if now_ms < self._membership_settled_at_ms:
-            return max(INITIAL_PROCESSES, self._peers.membership.processes())
+            return max(ASSUMED_ENTRIES, self._peers.membership.processes())
         return self._peers.membership.processes()
 
     def _most_connections(self, observed: ObservedSearcher) -> int:
@@ -290,8 +291,6 @@
         self._callers.limit(_limits(plan.limits))
         self._serving_state.update()
 
-    # Stopping.
-
     @handler("signal", channel="*")
     def _on_signal(self, event: Any, number: int, stack: Any) -> None:
         event.stop()
@@ -299,7 +298,7 @@
             self.stop_gracefully()
 
     def stop_gracefully(self) -> None:
-        """Stop: not ready, close idle connections, answer what comes, then end."""
+        """Stop: report not ready, close idle connections, answer remaining requests, then end."""
         if self._stopping:
             return
         self._stopping = True
--- a/rhubarbhinge/gateway/_entry_metrics.py
+++ b/rhubarbhinge/gateway/_entry_metrics.py
@@ -1,4 +1,4 @@
-"""What an entry shows of itself besides latencies and refusals."""
+"""Metrics of an entry that are collected when they are requested."""
 
 from rhubarbhinge.fleet import Fleet
 from rhubarbhinge.forward import ConnectionPool
@@ -35,22 +35,22 @@
     "parts": Figure("sent_parts_bytes_total", "Bytes of parts for other entries", True),
     "state": Figure("sent_state_bytes_total", "Bytes of published state for others", True),
 }
-"""What this entry sends, by kind."""
+"""Metrics of the bytes that this entry sends, by kind."""
 LINES_DROPPED = Figure("log_lines_dropped_total", "Lines above the log's budget, or unread", True)
 
 
 class EntryMetrics:
-    """Reads an entry's parts when its metrics are asked for.
+    """Collects the metrics of the components of an entry.
 
     :param follower: the published state.
     :param peers: the other entries.
-    :param source: where published state comes from.
+    :param source: source of the published state.
     :param fleet: the searchers.
-    :param pool: connections to them.
+    :param pool: connections to the searchers.
     :param budget: the retry budget.
-    :param link_use: what fills the VM's link.
-    :param quarantine: which requests end the searchers that execute them.
-    :param event_log: where events go; None when they go elsewhere.
+    :param link_usage: usage of the VM's network link.
+    :param quarantine: tracks requests that end the searchers executing them.
+    :param event_log: the buffered event log; None if events are written elsewhere.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         fleet: Fleet,
         pool: ConnectionPool,
         budget: RetryBudget,
-        link_use: LinkUsage,
+        link_usage: LinkUsage,
         quarantine: Quarantine,
         event_log: EventLog | None,
     ):
@@ -71,14 +71,14 @@
         self._fleet = fleet
         self._pool = pool
         self._budget = budget
-        self._link_usage = link_use
+        self._link_usage = link_usage
         self._quarantine = quarantine
         self._event_log = event_log
 
     def update(self, metrics: Metrics) -> None:
-        """Show the figures of now.
+        """Set the current values.
 
-        :param metrics: takes them.
+        :param metrics: receives the values.
         """
         plan = self._follower.plan
         version = plan.version if plan else 0
--- a/rhubarbhinge/gateway/_entry_settings.py
+++ b/rhubarbhinge/gateway/_entry_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway's entry."""
+"""Settings of an entry."""
 
 from dataclasses import dataclass, fields
 
@@ -8,9 +8,9 @@
 
 
 class SettingsError(ValueError):
-    """Settings that can't be used.
+    """Raised for invalid settings.
 
-    :ivar code: for programs.
+    :ivar code: machine-readable error code.
     """
 
     code = "bad-settings"
@@ -18,23 +18,25 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """Settings of one entry that serves published plans.
+    """Settings of one entry.
+
+    The names of the fields appear in the log when settings are reloaded.
 
     :param name: name of the VM.
-    :param ip: its IP address.
-    :param failure_domain: its failure domain.
-    :param callers: where callers connect.
-    :param readiness: where the balancer asks whether the entry is ready.
-    :param readiness_path: the path it asks for.
-    :param peer_port: port for other entries, TCP and UDP, the same on all VMs.
-    :param ask_port: TCP port for other entries' asks, the same on all VMs.
-    :param metrics_port: port for operators.
-    :param seed_ips: IP addresses of some other VMs; they may be stale.
+    :param ip: IP address of the VM.
+    :param failure_domain: failure domain of the VM.
+    :param callers: address on which callers are served.
+    :param readiness: address on which the load balancer checks the readiness of the entry.
+    :param readiness_path: path of the readiness check.
+    :param peer_port: TCP and UDP port for other entries, the same on all VMs.
+    :param ask_port: TCP port for shards delegated by other entries, the same on all VMs.
+    :param metrics_port: port on which metrics are served.
+    :param seed_ips: IP addresses of some other VMs, which may be stale.
     :param store: address of the platform's store.
-    :param stop_grace_ms: time between the signal to stop and being killed.
-    :param retry_budget: what all entries together may send beyond the first time.
-    :param link_bits_per_ms: rate of the VM's network link; 0 when it is not known.
-    :param cold_rule: what all entries together may send to a cold searcher.
+    :param stop_grace_ms: time between the stop signal and the forced end of the process.
+    :param retry_budget: limit of hedges and retries of all entries together.
+    :param link_bits_per_ms: rate of the VM's network link; 0 if it is unknown.
+    :param cold_rule: limit of the requests of all entries together to a cold searcher.
     """
 
     name: str
@@ -57,8 +59,8 @@
 def changed_fields(old: EntrySettings, new: EntrySettings) -> list[str]:
     """Compare settings.
 
-    :param old: those in force.
-    :param new: those to come.
+    :param old: the current settings.
+    :param new: the new settings.
     :returns: names of the fields that differ.
     """
     return [f.name for f in fields(old) if getattr(old, f.name) != getattr(new, f.name)]
--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""From a caller's request to its answer."""
+"""Routing of callers' requests."""
 
 from collections.abc import Callable
 
@@ -15,15 +15,15 @@
 from rhubarbhinge.web import Request, Responder, Response
 
 INITIAL_DELAY_FRACTION = 0.2
-"""Part of the latency objective that a shard is assumed to take before any was seen."""
+"""Assumed reply time as a fraction of the latency objective, before enough were measured."""
 NO_PLAN_RETRY_AFTER_MS = 300.0
-"""A starting entry has read its configuration within some tenths of a second."""
+"""A starting entry reads its configuration within some tenths of a second."""
 
 
 class Gateway:
-    """Answers callers by the newest plan; each request keeps to the plan it was read under.
+    """Routes requests by the newest plan; each request keeps the plan under which it was accepted.
 
-    :param parts: what requests share.
+    :param dependencies: dependencies shared by all requests.
     """
 
     def __init__(self, dependencies: GatewayDependencies):
@@ -34,7 +34,7 @@
         self._recent_requests = RecentRequests(dependencies.context.timers.now_ms)
 
     def on_plan(self, plan: ServingPlan) -> None:
-        """Follow a new plan.
+        """Adopt a new plan.
 
         :param plan: the plan.
         """
@@ -46,13 +46,13 @@
             del self._delays[name]
 
     def can_serve(self) -> bool:
-        """Tell whether most of what callers ask for can be served here, if it can be anywhere.
+        """Check whether most recent requests could be served here, if they could be anywhere.
 
-        Requests for which too few searchers are published don't count: callers who are sent to
-        other entries are not served there either.
+        Requests for which too few searchers are published are not counted, as no other entry could
+        serve them either.
 
-        :returns: whether the routes that most of the recent requests took have searchers that
-            can be reached.
+        :returns: whether the routes of at least half of the counted requests have enough reachable
+            searchers.
         """
         plan = self._follower.plan
         if plan is None:
@@ -69,10 +69,10 @@
         return 2 * served >= servable
 
     def handle(self, request: Request, responder: Responder) -> None:
-        """Take a caller's request.
+        """Handle a request of a caller.
 
         :param request: the request.
-        :param responder: answers it.
+        :param responder: sends the response.
         """
         caller_request = self._dependencies.dialect.caller_request(request)
         plan = self._follower.plan
@@ -117,11 +117,12 @@
         return refused("stale-plan", message, NO_PLAN_RETRY_AFTER_MS)
 
     def delays_of(self, route_name: str, target_latency_ms: float) -> Delays:
-        """Give the usual delays on a route.
+        """Return the recent reply times on a route.
 
         :param route_name: the route.
-        :param target_latency_ms: its latency objective, from which they are guessed at first.
-        :returns: the delays.
+        :param target_latency_ms: latency objective of the route, from which the first estimate is
+            derived.
+        :returns: the reply times.
         """
         delays = self._delays.get(route_name)
         if delays is None:
@@ -131,7 +132,7 @@
 
 
 def _has_enough(route: Route, has_searcher: Callable[[str], bool]) -> bool:
-    """Tell whether enough services of a route have a searcher, of the kind that is asked for."""
+    """Check whether enough services of a route have a searcher according to a predicate."""
     if route.shards is None:
         return any(has_searcher(part.name) for part in route.services)
     return route.shards.is_enough(sum(has_searcher(name) for name in route.shards.services))
--- a/rhubarbhinge/gateway/_gateway_dependencies.py
+++ b/rhubarbhinge/gateway/_gateway_dependencies.py
@@ -1,4 +1,4 @@
-"""What the requests of a gateway share."""
+"""Dependencies shared by all requests of a gateway."""
 
 import random
 from collections.abc import Callable
@@ -14,17 +14,18 @@
 
 
 class GatewayDependencies(Struct, frozen=True):
-    """What the requests of a gateway share.
+    """Dependencies shared by all requests of a gateway.
 
-    :param surroundings: timers, searchers, budget and connections.
-    :param dialect: translates messages.
-    :param follower: knows the plan.
-    :param metrics: counts.
-    :param rng: spreads what is said to callers.
-    :param far: how other entries are asked for the shards near them.
-    :param lead: how long before they are due answers have to be begun.
-    :param moving_ms: gives the time until callers are sent to other entries, 0 when they aren't.
-    :param quarantine: which requests end the searchers that execute them.
+    :param context: timers, searchers, retry budget and connections.
+    :param dialect: translates the messages of callers and searchers.
+    :param follower: provides the current plan.
+    :param metrics: receives latencies and refusals.
+    :param rng: adds jitter to retry delays and samples requests for the log.
+    :param delegation: delegates shards to other entries.
+    :param lead_time: estimates how long before its due time an answer has to be started.
+    :param balancer_delay_ms: returns the time until the load balancer sends callers to other
+        entries, or 0 if it does not.
+    :param quarantine: tracks requests that end the searchers executing them.
     """
 
     context: Surroundings
--- a/rhubarbhinge/gateway/_link_usage.py
+++ b/rhubarbhinge/gateway/_link_usage.py
@@ -1,20 +1,20 @@
-"""What fills this VM's link."""
+"""Usage of this VM's network link."""
 
 from collections.abc import Callable, Mapping
 
 from rhubarbhinge.telemetry import log_event
 
 BUSY_FRACTION = 0.3
-"""Part of the link's rate above which a period is logged. A search that meets a transfer waits for
-as long as that takes: at 0.3 of a period of 250 ms 75 ms, as long as an urgent answer may take."""
+"""Fraction of the link's rate above which a period is logged. A search waits for any transfer in
+progress: at 0.3 of a period of 250 ms this is 75 ms, as long as an urgent answer may take."""
 
 
 class LinkUsage:
-    """Counts what this entry sends by kind, and logs the periods in which it fills the link.
+    """Counts the bytes that this entry sends, and logs periods of high link usage.
 
-    :param sent_bytes: gives the bytes sent since the start, by kind.
-    :param link_bits_per_ms: gives the rate of this VM's link; 0 when it is not known.
-    :param now_ms: gives the time.
+    :param sent_bytes: for each kind of traffic, a function that returns the bytes sent so far.
+    :param link_bits_per_ms: returns the rate of this VM's link, or 0 if it is unknown.
+    :param now_ms: returns the current time.
     """
 
     def __init__(
@@ -30,14 +30,14 @@
         self._last_ms = now_ms()
 
     def totals(self) -> dict[str, int]:
-        """Give the bytes sent since the start.
+        """Return the bytes sent since the start.
 
         :returns: bytes by kind.
         """
         return {kind: count() for kind, count in self._sent_bytes.items()}
 
     def close_period(self) -> None:
-        """Close a period, and log it if the link was busy."""
+        """Close the current period and log it if the link was busy."""
         now_ms, totals = self._now_ms(), self.totals()
         sent = {kind: total - self._last[kind] for kind, total in totals.items()}
         period_ms = now_ms - self._last_ms
--- a/rhubarbhinge/gateway/_live_settings.py
+++ b/rhubarbhinge/gateway/_live_settings.py
@@ -1,4 +1,4 @@
-"""Settings that may change while an entry runs."""
+"""Settings that can change while an entry runs."""
 
 from collections.abc import Callable
 
@@ -9,11 +9,11 @@
 
 
 class LiveSettings:
-    """The settings in force.
+    """Holds the current settings and reloads them.
 
     :param read: reads the settings.
-    :param on_change: told the new settings when they have changed.
-    :raises SettingsError: when the first ones can not be used.
+    :param on_change: called with the new settings when they have changed.
+    :raises SettingsError: if the initial settings are invalid.
     """
 
     def __init__(self, read: ReadSettings, on_change: Callable[[EntrySettings], None]):
@@ -23,7 +23,7 @@
         self.current = read()
 
     def reload(self) -> None:
-        """Read the settings again; faulty ones leave those in force, and are logged once."""
+        """Reload the settings; invalid ones are logged once and do not replace the current ones."""
         try:
             settings = self._read()
         except SettingsError as error:
--- a/rhubarbhinge/gateway/_recent_requests.py
+++ b/rhubarbhinge/gateway/_recent_requests.py
@@ -1,16 +1,16 @@
-"""Which routes callers asked for lately."""
+"""Recent requests by route."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
 
 WINDOW_MS = 5_000.0
-"""Requests of this and the last such span count; callers ask some ten times a second."""
+"""Requests in the current and the previous window are counted, at some ten requests per second."""
 
 
 class RecentRequests:
     """Counts requests by route over the last seconds.
 
-    :param now_ms: gives the time.
+    :param now_ms: returns the current time.
     """
 
     def __init__(self, now_ms: Callable[[], float]):
@@ -22,15 +22,15 @@
     def add(self, route_name: str) -> None:
         """Count a request.
 
-        :param route_name: its route.
+        :param route_name: route of the request.
         """
         self._rotate()
         self._current[route_name] += 1
 
     def counts(self) -> Iterable[tuple[str, int]]:
-        """Give the counts.
+        """Return the counts.
 
-        :returns: names of routes and numbers of requests.
+        :returns: pairs of route name and number of requests.
         """
         self._rotate()
         return (self._current + self._previous).items()
--- a/rhubarbhinge/gateway/_request_handler.py
+++ b/rhubarbhinge/gateway/_request_handler.py
@@ -1,4 +1,4 @@
-"""One request under way."""
+"""Handling of one request."""
 
 from collections.abc import Callable
 
@@ -26,34 +26,35 @@
 from rhubarbhinge.web import Responder, Response
 
 ANSWER_FRACTION = 0.96
-"""Part of the latency objective after which a search is answered with what there is, less the round
-trips and what answers take here; the rest is for what the round trip varies."""
+"""Fraction of the latency objective after which a search is answered with the replies received so
+far, less the round trips to the caller and the lead time of the answer. The remainder allows for
+variation of the round trips."""
 WRITE_MARGIN_MS = 2.0
-"""A deadline is over so much sooner here: writing an answer takes a millisecond or two."""
+"""Deadlines are shortened by this much, as writing an answer takes one to two milliseconds."""
 RETRY_AFTER_FRACTION = 0.25
-"""Callers come back after this part of the latency objective."""
+"""Delay before callers may retry, as a fraction of the latency objective."""
 MIN_RETRY_AFTER_MS = 50.0
-"""Shorter pauses bring the caller back into the same shortage."""
+"""Minimum delay before callers may retry; a shorter one would meet the same shortage."""
 MAX_LOGGED_SHARDS = 8
-"""Most missing shards that a line of the log names."""
+"""Maximum number of missing shards named in a log line."""
 SAMPLING_INTERVAL = 64
-"""One in so many requests that went well is logged with its steps, to compare the others with; at
-20 a second that is a few KB each three seconds, a small part of the log's budget."""
+"""One in this many successful requests is logged with its steps, as a reference for the others. At
+20 requests per second this takes a few KB every three seconds, a small part of the log's budget."""
 CALLER_GONE = 0
-"""In logs: the status of a request whose caller left before its answer."""
+"""Status logged for a request whose caller disconnected before the answer."""
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-"""Statuses that callers take to mean that the request was not executed."""
+"""Status codes that tell callers that the request was not executed."""
 
 
 class RequestHandler:
-    """One request under way.
+    """Handles one request.
 
-    :param parts: what requests share.
-    :param asked: the request.
-    :param plan: the plan it was read under.
-    :param route: its route.
-    :param responder: answers it.
-    :param transit_ms: time that the caller sees besides what passes here.
+    :param dependencies: dependencies shared by all requests.
+    :param request: the request.
+    :param plan: the plan under which the request was accepted.
+    :param route: route of the request.
+    :param responder: sends the response.
+    :param transit_ms: round-trip time that adds to the latency seen by the caller.
     """
 
     def __init__(
@@ -85,28 +86,28 @@
         self._watch: RequestWatch | None = None
 
     def refuse(self, verdict: Quarantined) -> None:
-        """Refuse the request, as it ends the searchers that execute it.
+        """Refuse the request because it ends the searchers that execute it.
 
-        :param verdict: what is known of it.
+        :param verdict: the quarantine verdict on the request.
         """
         message = "Searchers end that execute this request."
         answer = refused("quarantined", message, verdict.retry_after_ms)
         self._answer(answer, "quarantined")
 
     def watch(self, one_first: bool) -> None:
-        """Watch it for searchers that end under it.
+        """Watch for searchers that end while executing the request.
 
-        :param one_first: whether it goes to one searcher first.
+        :param one_first: whether one searcher has to reply before the others get the request.
         """
         self._watch = self._dependencies.quarantine.watch(
             self._request.fingerprint, self._route.name, one_first, self._on_searchers_ended
         )
 
     def forward(self, service: str, delays: Delays) -> None:
-        """Have one searcher of a service answer.
+        """Forward the request to one searcher of a service.
 
         :param service: the service.
-        :param delays: the usual delays of such requests.
+        :param delays: recent reply times on the route.
         """
         context = self._context
         context.budget.on_request((service,))
@@ -120,9 +121,9 @@
         call.start()
 
     def gather(self, delays: Delays) -> None:
-        """Have all shards answer.
+        """Send the request to all shards and merge their replies.
 
-        :param delays: the usual delays of such requests at one shard.
+        :param delays: recent reply times of a single shard on the route.
         """
         route = self._route
         lead_ms = self._transit_ms + self._dependencies.lead_time.lead_ms(route.name)
@@ -176,7 +177,7 @@
         self._log("caller-gone", CALLER_GONE)
 
     def _on_searchers_ended(self) -> None:
-        """Answer at once: no searcher that is still asked would live to reply."""
+        """Fail the request at once, as no searcher would survive long enough to reply."""
         self._cancel()
         message = "The searchers that executed this request ended."
         self._answer(failed("ends-searchers", message), "ends-searchers")
@@ -202,7 +203,7 @@
     def _forward_reply(self, result: Passed) -> None:
         reply = result.reply
         if reply.status in NOT_RUN_STATUSES:
-            # To callers these say "not run", which this searcher did not say.
+            # Callers would conclude that the request was not executed, which is not known.
             self._answer(failed("searcher-failed", "The searcher failed."), "searcher-failed")
         else:
             self._answer(self._dependencies.dialect.passed_on(reply), "passed")
--- a/rhubarbhinge/gateway/_run_entry.py
+++ b/rhubarbhinge/gateway/_run_entry.py
@@ -1,4 +1,4 @@
-"""Running an entry until it is stopped."""
+"""Main function of an entry process."""
 
 import gc
 
@@ -8,18 +8,18 @@
 from rhubarbhinge.telemetry import EventLog, use_event_log
 
 GC_THRESHOLD = 20_000
-"""Objects made before garbage is looked for; most requests leave none, and at the library's 700 the
-looking takes a twentieth of the processor time."""
+"""Number of allocations that triggers a garbage collection. Most requests create no cyclic garbage,
+and at Python's default of 700, collections take 5% of the processor time."""
 
 
 def run_entry(read_settings: ReadSettings, dialect: Dialect, make_source: MakeSource) -> None:
     """Run an entry until it is stopped.
 
-    :param read_settings: reads its settings.
+    :param read_settings: reads the settings.
     :param dialect: translates messages of callers and searchers.
-    :param make_source: makes the reader of published state.
-    :raises SettingsError: when the settings can not be used.
-    :raises OSError: when a port can not be bound.
+    :param make_source: creates the source of published state.
+    :raises SettingsError: if the settings are invalid.
+    :raises OSError: if a port cannot be bound.
     """
     event_log = EventLog(read_settings().name)
     use_event_log(event_log)
--- a/rhubarbhinge/gateway/_serving_state.py
+++ b/rhubarbhinge/gateway/_serving_state.py
@@ -1,4 +1,4 @@
-"""Whether an entry can serve, as far as the balancer and callers are concerned."""
+"""Ability of an entry to serve, as reported to the load balancer and to callers."""
 
 from collections.abc import Callable
 
@@ -6,16 +6,17 @@
 from rhubarbhinge.telemetry import log_event
 
 BALANCER_REACTION_MS = 2_200.0
-"""The balancer asks once a second and sends callers elsewhere after two misses."""
+"""Time until the load balancer sends callers elsewhere: it checks once per second and needs two
+failures."""
 
 
 class ServingState:
-    """Whether an entry can serve; without searchers in reach its callers are better off elsewhere.
+    """Tracks whether an entry can serve; without reachable searchers, callers should go elsewhere.
 
-    :param now_ms: gives the time.
+    :param now_ms: returns the current time.
     :param fleet: the searchers.
-    :param can_serve: works out whether most of what callers ask for can be served.
-    :param on_change: told each change.
+    :param can_serve: checks whether most requests can be served.
+    :param on_change: called with the new state on each change.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
         self.is_serving = False
 
     def update(self) -> None:
-        """Work it out anew."""
+        """Re-evaluate the state."""
         serving = self._can_serve()
         if serving == self.is_serving:
             return
@@ -44,8 +45,8 @@
         log_event("serving-changed", serving=serving, searchers_unreachable=unreachable)
 
     def balancer_delay_ms(self) -> float:
-        """Tell when the balancer will have sent callers elsewhere, as this entry can't serve.
+        """Return the time until the load balancer sends callers to other entries.
 
-        :returns: time until then; 0 while it serves, and after that.
+        :returns: the remaining time; 0 while this entry can serve and once callers have moved.
         """
         return max(0.0, self._callers_moved_at_ms - self._now_ms())
--- a/rhubarbhinge/gateway/_shard_delegation.py
+++ b/rhubarbhinge/gateway/_shard_delegation.py
@@ -1,8 +1,8 @@
-"""Which shards of a search are left to other entries.
+"""Selection of the shards of a search that are delegated to other entries.
 
-Those that have no searcher in this failure domain are left to an entry near them, which knows best
-how they fare. Of many shards, each entry takes a part, so that neither the processor nor the link
-of one VM holds up the whole search.
+Shards without a searcher in this failure domain are delegated to an entry near their searchers,
+which has the best information about them. Large numbers of shards are divided among several
+entries, so that neither the processor nor the network link of one VM delays the whole search.
 """
 
 import math
@@ -16,30 +16,31 @@
 from rhubarbhinge.gather import GatherTerms, GrantAttempts, PartialResult, ShardDelegation
 
 MAX_SHARDS_PER_ENTRY = 15
-"""One entry asks so many shards of a search; more are split among others, so that neither processor
-nor link of one small VM takes most of a short latency objective."""
+"""Maximum number of shards that one entry searches; larger searches are divided among several
+entries. With more shards, the processor or the network link of one small VM would use up most of a
+short latency objective."""
 
 
 def shard_delegation(
     failure_domain: str,
-    surroundings: Surroundings,
+    context: Surroundings,
     delegates: Delegates,
     rng: random.Random,
 ) -> ShardDelegation:
-    """Leave shards without a searcher in this failure domain to other entries, and split many.
+    """Create the delegation of shards to entries in this and other failure domains.
 
-    :param failure_domain: that of this entry.
-    :param surroundings: what requests share.
-    :param delegates: asks other entries.
-    :param rng: spreads the asks over the domains.
-    :returns: how other entries are asked.
+    :param failure_domain: failure domain of this entry.
+    :param context: state shared by all requests.
+    :param delegates: sends delegated shards to other entries.
+    :param rng: breaks ties between failure domains.
+    :returns: the delegation.
     """
 
     def shards_for(
         request: CallerRequest, terms: GatherTerms, reachable: Iterable[str]
     ) -> dict[str, list[str]]:
         reachable = list(reachable)
-        remote = _remote_domains(surroundings.fleet, failure_domain, reachable)
+        remote = _remote_domains(context.fleet, failure_domain, reachable)
         local = [service for service in reachable if service not in remote]
         by_address = {}
         while remote:
@@ -49,7 +50,7 @@
             addresses = delegates.choose(domain, _entry_count(services))
             by_address.update(_split_evenly(services, addresses))
         others = delegates.choose(failure_domain, _entry_count(local) - 1)
-        # The first part stays here.
+        # The empty address stands for this entry, which keeps the first part.
         by_address.update(_split_evenly(local, ["", *others]))
         by_address.pop("", None)
         return by_address
@@ -62,7 +63,7 @@
         on_part: Callable[[PartialResult | None], None],
         grant: GrantAttempts,
     ) -> Delegate:
-        now_ms = surroundings.timers.now_ms()
+        now_ms = context.timers.now_ms()
         message = Ask(
             number=0,
             request_id=request.id,
@@ -87,7 +88,7 @@
 def _remote_domains(
     fleet: Fleet, failure_domain: str, services: Iterable[str]
 ) -> dict[str, set[str]]:
-    """Give the domains of the searchers of those services that have none in this domain."""
+    """Return the failure domains of the searchers of each service without one in this domain."""
     remote = {}
     for service in services:
         domains = {
@@ -101,19 +102,19 @@
 
 
 def _largest_group(remote: dict[str, set[str]], rng: random.Random) -> tuple[str, list[str]]:
-    """Choose the domain that has searchers of most services, one at random among equals."""
+    """Choose the domain with searchers of the most services, with ties broken at random."""
     counts = Counter(domain for domains in remote.values() for domain in domains)
     domain = max(counts, key=lambda name: (counts[name], rng.random()))
     return domain, [service for service, domains in remote.items() if domain in domains]
 
 
 def _entry_count(services: list[str]) -> int:
-    """Tell among how many entries shards are split."""
+    """Compute the number of entries among which shards are divided."""
     return max(1, math.ceil(len(services) / MAX_SHARDS_PER_ENTRY))
 
 
 def _split_evenly(services: list[str], addresses: list[str]) -> dict[str, list[str]]:
-    """Split shards evenly among addresses."""
+    """Divide shards evenly among addresses."""
     return {
         address: services[index :: len(addresses)]
         for index, address in enumerate(addresses)
--- a/rhubarbhinge/gateway/_shutdown.py
+++ b/rhubarbhinge/gateway/_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful end of an entry."""
+"""Graceful shutdown of an entry."""
 
 from collections.abc import Callable
 
@@ -8,19 +8,20 @@
 from rhubarbhinge.web import HttpServer
 
 MIN_SHUTDOWN_MS = 3_200.0
-"""A stopping entry goes on this long: the balancer needs two misses, a second apart, to notice."""
+"""Minimum duration of a shutdown: the load balancer needs two failed checks, one second apart, to
+notice that the entry is not ready."""
 STOP_MARGIN_MS = 500.0
-"""A stopping entry ends this much before it would be killed."""
+"""A stopping entry ends this long before it would be killed."""
 STOP_POLL_MS = 20.0
-"""How often a stopping entry looks whether all is answered."""
+"""Interval at which a stopping entry checks whether all requests are answered."""
 
 
 class Shutdown:
-    """Waits until the balancer has noticed and all is answered, then ends the process.
+    """Ends the process once the load balancer has reacted and all requests are answered.
 
     :param timers: the timer service.
-    :param callers: serves callers.
-    :param asks: serves other entries.
+    :param callers: server for callers.
+    :param asks: server for other entries.
     :param end: ends the process.
     """
 
@@ -39,7 +40,7 @@
         self._earliest_end_ms = 0.0
 
     def begin(self, grace_ms: float) -> None:
-        """Close idle connections, answer what comes, then end.
+        """Close idle connections, answer remaining requests, then end the process.
 
         :param grace_ms: time until the process would be killed.
         """
--- a/rhubarbhinge/gateway/_split.py
+++ b/rhubarbhinge/gateway/_split.py
@@ -1,13 +1,13 @@
-"""Sharing a route's requests among its services."""
+"""Weighted distribution of a route's requests over its services."""
 
 from rhubarbhinge.plans import Route
 
 
 class Splitter:
-    """Shares each route's requests among its services by weight, evenly also over short times.
+    """Distributes the requests of each route over its services by smooth weighted round robin.
 
-    The service with the greatest claim is next (smooth weighted round robin), so that every part
-    has its share to within one request.
+    The service with the greatest current weight is next, so that the share of each service is met
+    to within one request, also over short periods.
     """
 
     def __init__(self) -> None:
@@ -33,9 +33,9 @@
         return chosen
 
     def retain(self, route_names: set[str]) -> None:
-        """Forget routes that are no longer served.
+        """Discard the state of removed routes.
 
-        :param route_names: those that are.
+        :param route_names: the routes that remain.
         """
         for name in self._current_weights.keys() - route_names:
             del self._current_weights[name]
--- a/rhubarbhinge/gateway/_warmup_limiter.py
+++ b/rhubarbhinge/gateway/_warmup_limiter.py
@@ -1,4 +1,4 @@
-"""Which searchers may get a request now: all that are warm, and of the cold ones a limited rate."""
+"""Rate limit of requests to searchers that are still warming up (cold searchers)."""
 
 from collections.abc import Callable
 
@@ -9,31 +9,33 @@
 from rhubarbhinge.utils import rendezvous
 
 REPORT_DELAY_MS = 2_500.0
-"""What a searcher publishes of itself is known here within this time: two heartbeats of it, and
-the watch of an entry that follows another one."""
+"""Maximum delay until this entry learns what a searcher publishes: two heartbeats of the searcher
+plus the watch delay of an entry that follows another entry."""
 JOIN_SETTLE_MS = 6_000.0
-"""A process that has just started, or was held up, sends nothing to cold searchers of a limited
-rate for so long. By then it has heard of the others and they of it, also when the first lists of
-entries were exchanged too early: several heartbeats and another exchange of lists."""
+"""A process sends nothing to rate-limited cold searchers for this long after its start or a pause.
+By then it and the other entries know of each other, even if the first member lists were exchanged
+too early: this allows for several heartbeats and a second exchange of member lists."""
 
 
 class WarmupLimiter:
-    """Shares the rate of a cold searcher among the processes that may be sending to it.
+    """Divides the permitted request rate of a cold searcher among the entries that may send to it.
 
-    A searcher that gets far more than the rate of its service while it is cold ends. Nothing counts
-    the requests of all processes together, so each keeps to a part that it works out alone from the
-    processes that may be sending, those that it can't hear included: as many whole requests a
-    second as there are for each, or, where there are fewer than processes, one for those that come
-    first in an order of names that differs from searcher to searcher. The processes of the
-    searcher's own failure domain share it; others leave it alone, and reach the shard elsewhere.
+    A searcher whose process receives far more than the warm-up rate of its service while it is cold
+    ends. The entries do not count their requests together, so each computes its own limit from the
+    entries that may be sending, including those it cannot hear. The limit is the permitted rate
+    divided by the number of entries, rounded down to whole requests per second. If there are more
+    entries than requests, the entries that rank first in a rendezvous order, which differs between
+    searchers, get one request each. If the failure domain of the searcher has entries, only these
+    send to it; the others reach the shard through other searchers.
 
-    Whether a searcher is cold is told late. So one that has just been reached again, or whose
-    domain is no longer evacuated, counts as cold until it would have told.
+    Entries learn with a delay that a searcher is cold. A searcher that has just become reachable
+    again, or whose failure domain is no longer evacuated, is therefore treated as cold until its
+    own report would have arrived.
 
-    :param follower: knows the plan, which names the rates.
-    :param membership: knows the processes.
-    :param rule: gives the bound.
-    :param now_ms: gives the time.
+    :param follower: provides the plan, which contains the warm-up rates.
+    :param membership: provides the other entries.
+    :param rule: returns the rule for the maximum rate.
+    :param now_ms: returns the current time.
     """
 
     def __init__(
@@ -51,15 +53,16 @@
         self.on_pause()
 
     def on_pause(self) -> None:
-        """Send nothing to cold searchers for a while, as others may have joined meanwhile."""
+        """Stop sending to cold searchers for a while, as entries may have joined meanwhile."""
         self._settled_at_ms = self._now_ms() + JOIN_SETTLE_MS
 
     def may_send(self, observed: ObservedSearcher, now_ms: float) -> bool:
-        """Tell whether a searcher may get a request now.
+        """Check whether a request may be sent to a searcher now.
 
         :param observed: the searcher.
-        :param now_ms: the time.
-        :returns: whether it is warm, bears any rate, or gets less than this process's part of it.
+        :param now_ms: the current time.
+        :returns: whether the searcher is warm, its service has no warm-up rate, or this entry's
+            limit is not reached.
         """
         if now_ms >= observed.warm_at_ms and not observed.has_returned:
             return True
@@ -78,7 +81,7 @@
         names = membership.may_be_sending(domain) or membership.may_be_sending()
         me = membership.me.name
         if me not in names or not membership.hears_others:
-            # One that hears nobody does not know among how many it would share.
+            # An isolated entry does not know how many entries share the rate.
             return 0
         if len(names) <= limit:
             return limit // len(names)
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -1,8 +1,8 @@
-"""Entries that search shards for one another, over simulated links and searchers.
+"""Simulation of entries that delegate shards to each other, with simulated links and searchers.
 
-The parts that decide on attempts are the real ones. Links lose, delay and cut what they carry,
-entries pause, and searchers run, refuse, fail or fall silent, all drawn from one seed. What
-counts is what the searchers saw.
+The components that decide on attempts are the real ones. Links lose and delay messages and break,
+entries pause, and searchers execute, refuse or fail requests or do not reply, all derived from one
+seed. The results are judged by the requests that the searchers executed.
 """
 
 import random
@@ -44,7 +44,7 @@
 TARGET_MS = 180.0
 WAIT_MS = 1_000.0
 SHARDS_PER_ENTRY = 2
-"""So few in place of 30, so that a search of some shards is split among several entries."""
+"""Replaces the larger real limit, so that a search of a few shards is divided among entries."""
 DOMAINS = ("hall-a", "hall-b", "hall-c")
 ENTRIES = {"a-1": "hall-a", "a-2": "hall-a", "b-1": "hall-b", "b-2": "hall-b", "c-1": "hall-c"}
 
@@ -53,9 +53,9 @@
     """One request to one searcher.
 
     :param searchers: all searchers.
-    :param timers: timers of the entry that sends it.
-    :param exchange: what is asked of whom.
-    :param tell: told the outcome.
+    :param timers: timers of the sending entry.
+    :param exchange: the request and its searcher.
+    :param on_outcome: called with the outcome.
     """
 
     def __init__(self, searchers: "Searchers", timers: HostTimers, exchange: Exchange, on_outcome):
@@ -78,7 +78,7 @@
             return
         self.sent = True
         rng, faults = self._searchers.rng, self._searchers.faults
-        # What was written may arrive although it is cancelled meanwhile.
+        # A written request may be executed even if it is cancelled afterwards.
         refused = rng.random() < faults.refuse
         if not refused:
             self._searchers.run(self._exchange)
@@ -110,10 +110,10 @@
 
 
 class Searchers:
-    """All searchers, which note whose requests they ran.
+    """All searchers, which record the requests that they execute.
 
-    :param rng: draws what they do.
-    :param troubles: how often what goes wrong.
+    :param rng: source of their behaviour.
+    :param faults: probabilities of faults.
     """
 
     def __init__(self, rng: random.Random, faults: FaultRates):
@@ -127,9 +127,9 @@
 
 
 class StaticMembers:
-    """The entries that there are, which never change.
+    """Fixed membership of all entries.
 
-    :param name: this one's.
+    :param name: name of this entry.
     """
 
     def __init__(self, name: str):
@@ -144,10 +144,10 @@
 
 
 class SimulatedEntry:
-    """One entry, without its callers, its own state and real sockets.
+    """One entry, without callers, published state and real sockets.
 
-    :param world: what all entries are in.
-    :param name: its name.
+    :param simulation: the simulation.
+    :param name: name of the entry.
     """
 
     def __init__(self, simulation: "SearchSimulation", name: str):
@@ -234,9 +234,9 @@
 
 
 class SearchSimulation:
-    """Entries and searchers under one drawn set of troubles.
+    """Entries and searchers with one randomly chosen set of fault probabilities.
 
-    :param seed: draws everything.
+    :param seed: seed of the random numbers.
     """
 
     entry_type = SimulatedEntry
@@ -258,7 +258,7 @@
         self.results: list[Gathered | TooFewShards] = []
 
     def run(self, searches: int = 6) -> None:
-        """Have searches come at several entries, some given up by their callers."""
+        """Start searches at several entries, some of which are cancelled by their callers."""
         for entry in self.entries.values():
             for domain in DOMAINS:
                 entry.delegates.choose(domain, 2)
@@ -279,7 +279,7 @@
                 entry.timers.paused_until_ms = self.timers.now_ms() + self.rng.uniform(20.0, 400.0)
 
     def max_searchers(self) -> int:
-        """Tell at how many searchers of one shard one request ran at most."""
+        """Return the maximum number of searchers of one shard that executed the same request."""
         return max((len(names) for names in self.searchers.ran.values()), default=0)
 
 
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -1,8 +1,8 @@
-"""Entries whose callers send a request that ends the searchers that run it, over simulated links.
+"""Simulation of a request that ends the searchers that execute it, over simulated links.
 
-On top of :mod:`simulated_attempts`: searchers that end and start again, entries that tell each
-other what they find out, by datagrams that are lost and delayed, and that start again knowing
-nothing. What counts is which attempts of the caller reached searchers, and when.
+Extends :mod:`simulated_attempts` by searchers that end and restart, and by entries that exchange
+their findings in datagrams, which are lost and delayed. The results are judged by the attempts of
+the caller that reached searchers, and by their times.
 """
 
 import random
@@ -33,23 +33,23 @@
 RESTART_MS = 3_000.0
 HEARTBEAT_MS = 1_000.0
 SETTLE_MS = 4_000.0
-"""An entry counts as in touch so long after its start or a pause."""
+"""Time after its start or a pause until an entry is expected to know the findings of others."""
 MIN_ENDED_SEARCHERS = 3
-"""The rule counts from when so many searchers have ended."""
+"""Number of ended searchers from which the tested limit applies."""
 
 
 class StaticMemberTable:
-    """The failure domains that there are."""
+    """Member table that provides the failure domains."""
 
     def domains(self) -> set[str]:
         return set(ENTRIES.values())
 
 
 class GossipMembers(StaticMembers):
-    """The entries that there are, and datagrams to them.
+    """Fixed membership of all entries, with datagrams between them.
 
-    :param world: what all entries are in.
-    :param name: this one's.
+    :param simulation: the simulation.
+    :param name: name of this entry.
     """
 
     def __init__(self, simulation: "FatalRequestSimulation", name: str):
@@ -65,9 +65,9 @@
 
 
 class FatalSearchers(Searchers):
-    """Searchers that end and start again.
+    """Searchers that end and restart.
 
-    :param world: what all entries are in.
+    :param simulation: the simulation.
     """
 
     def __init__(self, simulation: "FatalRequestSimulation"):
@@ -98,7 +98,7 @@
 
 
 class FatalAttempt(SimulatedAttempt):
-    """One request to one searcher, which may end it."""
+    """One request to one searcher, which may end the searcher."""
 
     def _write(self) -> None:
         searchers, searcher = self._searchers, self._exchange.searcher.searcher
@@ -118,7 +118,7 @@
 
 
 class FatalEntry(SimulatedEntry):
-    """One entry with what it knows of fatal requests."""
+    """One entry with its quarantine of fatal requests."""
 
     def __init__(self, simulation: "FatalRequestSimulation", name: str):
         super().__init__(simulation, name)
@@ -146,7 +146,7 @@
             self.simulation.send_gossip(self.name, name)
 
     def take(self, request_id: str, fatal: bool, on_end) -> None:
-        """Take a caller's request, as the gateway does."""
+        """Handle a caller's request as the gateway does."""
         fingerprint = FATAL if fatal else request_id
         verdict = self.quarantine.verdict(fingerprint, "route")
         if isinstance(verdict, Quarantined):
@@ -164,11 +164,11 @@
             ended(TooFewShards((), True))
 
         watch = self.quarantine.watch(fingerprint, "route", verdict == ONE_FIRST, stopped)
-        search = self._start_search(request_id, fatal, watch, ended)
+        search = self._create_search(request_id, fatal, watch, ended)
         search.start()
         self.timers.after(WAIT_MS, lambda: over or search.time_out())
 
-    def _start_search(self, request_id: str, fatal: bool, watch, on_end) -> ScatterGather:
+    def _create_search(self, request_id: str, fatal: bool, watch, on_end) -> ScatterGather:
         now_ms, simulation = self.timers.now_ms(), self.simulation
         due_ms = now_ms + 0.9 * TARGET_MS
         call = call_terms(
@@ -199,9 +199,9 @@
 
 
 class FatalRequestSimulation(SearchSimulation):
-    """Entries, their searchers, and one caller who sends the same fatal request again and again.
+    """Entries, their searchers, and one caller that repeats the same fatal request.
 
-    :param seed: draws everything.
+    :param seed: seed of the random numbers.
     """
 
     entry_type = FatalEntry
@@ -214,20 +214,20 @@
         self.good_results: list[bool] = []
 
     def send_gossip(self, sender: str, receiver: str) -> None:
-        """Carry what one entry knows to another one, as a heartbeat does."""
+        """Send the findings of one entry to another, as a heartbeat does."""
         if self.rng.random() < self.datagram_loss:
             return
-        told = self.entries[sender].news.carried()
+        findings = self.entries[sender].news.carried()
         delay_ms = self.rng.choice((0.5, 2.0, 2.0, 30.0))
 
         def arrive() -> None:
             other = self.entries[receiver]
-            other.timers.after(0.0, lambda: other.news.take(told))
+            other.timers.after(0.0, lambda: other.news.take(findings))
 
         self.timers.after(delay_ms, arrive)
 
     def publish(self, name: str) -> None:
-        """Tell all entries of a new start of a searcher."""
+        """Announce the restart of a searcher to all entries."""
         old = next(one for one in self.published if one.incarnation == name)
         new = replace(old, started_unix_ms=int(self.timers.now_ms()))
         self.published[self.published.index(old)] = new
@@ -235,7 +235,7 @@
             entry.context.fleet.put(new)
 
     def run_fatal(self, seconds: int) -> None:
-        """Have the fatal request come some times a second, and good ones beside it."""
+        """Send fatal and harmless requests several times a second."""
         for entry in self.entries.values():
             for domain in set(ENTRIES.values()):
                 entry.delegates.choose(domain, 2)
@@ -268,13 +268,12 @@
         now_ms = self.timers.now_ms()
         if drawn < self.faults.pause:
             until_ms = now_ms + self.rng.uniform(20.0, 7_000.0)
-            # A shorter pause than the one it is in would let what comes later overtake.
+            # Shortening a pause in progress would let later events overtake earlier ones.
             until_ms = max(until_ms, entry.timers.paused_until_ms)
             entry.timers.paused_until_ms = entry.last_disruption_ms = until_ms
 
     def late_attempts(self) -> set[str]:
-        """Give the attempts that reached searchers later than the rule's bound, from entries in
-        touch."""
+        """Return the attempts at settled entries that reached searchers after the time limit."""
         ends_ms = sorted(self.searchers.ends_ms)
         if len(ends_ms) < MIN_ENDED_SEARCHERS:
             return set()
--- a/rhubarbhinge/gateway/tests/simulated_links.py
+++ b/rhubarbhinge/gateway/tests/simulated_links.py
@@ -1,4 +1,4 @@
-"""Links between simulated entries, which lose, delay and cut what they carry."""
+"""Simulated links between entries, with losses, delays and disconnections."""
 
 import itertools
 import random
@@ -11,13 +11,13 @@
 
 MIN_DELAY_MS, MAX_DELAY_MS = 0.2, 3.0
 SILENCE_MS = 400.0
-"""Silence after which a link's end is told, as on real sockets."""
+"""Silence after which a link is reported closed, as on real sockets."""
 
 
 class FaultRates:
-    """How often what goes wrong.
+    """Randomly chosen probabilities of faults.
 
-    :param rng: draws them.
+    :param rng: source of randomness.
     """
 
     def __init__(self, rng: random.Random):
@@ -37,9 +37,9 @@
 
 
 class HostTimers:
-    """Timers of one entry, which stand still while it is paused.
+    """Timers of one entry, whose callbacks are deferred while the entry is paused.
 
-    :param timers: the time of all.
+    :param timers: timers of the simulation.
     """
 
     def __init__(self, timers: FakeTimers):
@@ -58,7 +58,7 @@
             return
         left_ms = self.paused_until_ms - self.now_ms()
         if self._deferred or left_ms > 0:
-            # What comes in a pause is taken in its order when the pause is over.
+            # Callbacks that are due during a pause run in order after it.
             if not self._deferred:
                 self._timers.after(left_ms, self._resume)
             self._deferred.append(subscription)
@@ -98,11 +98,11 @@
 
 
 class Network:
-    """Carries what entries send one another, in order on each connection.
+    """Delivers messages between entries, in order on each connection.
 
-    :param timers: the time of all.
-    :param rng: draws delays and faults.
-    :param troubles: how often what goes wrong.
+    :param timers: timers of the simulation.
+    :param rng: source of delays and faults.
+    :param faults: probabilities of faults.
     """
 
     def __init__(self, timers: FakeTimers, rng: random.Random, faults: FaultRates):
@@ -117,7 +117,7 @@
         return self.rng.uniform(MIN_DELAY_MS, MAX_DELAY_MS)
 
     def deliver(self, conn: _Connection, sender: _End, data: bytes) -> None:
-        """Carry bytes, after all that was sent before on the same way."""
+        """Deliver bytes after everything sent earlier in the same direction."""
         if self.rng.random() < self.faults.reset:
             self.timers.after(self.delay_ms(), lambda: self.end(conn, CloseReason.RESET))
         if self.rng.random() < self.faults.cut and sender not in conn.severed_from:
@@ -141,7 +141,7 @@
         receiver.links.timers.after(0.0, take)
 
     def _notice_cut(self, conn: _Connection, sender: _End) -> None:
-        # The other end goes on as if nothing were: its own bytes may still be acknowledged.
+        # The other end notices nothing, as its own bytes may still be acknowledged.
         sender.links.closed(sender.number, CloseReason.SILENT)
 
     def end(self, conn: _Connection, reason: CloseReason) -> None:
@@ -151,7 +151,7 @@
 
 
 class SimulatedLinks:
-    """Links of one entry on a simulated network, in the place of real ones.
+    """Replacement of the links of one entry, on a simulated network.
 
     :param network: the network.
     :param ip: address of the entry.
--- a/rhubarbhinge/gateway/tests/simulated_warmup.py
+++ b/rhubarbhinge/gateway/tests/simulated_warmup.py
@@ -1,4 +1,4 @@
-"""Entries that send to cold searchers as often as they may, on a simulated fleet."""
+"""Simulation of entries that send to cold searchers as often as they may."""
 
 from rhubarbhinge.fleet import ColdRule, Fleet, ObservedSearcher, Searcher
 from rhubarbhinge.gateway._warmup_limiter import WarmupLimiter
@@ -9,15 +9,15 @@
 RULE = ColdRule(1.5, 5.0)
 RATE_PER_S = 12.0
 MAX_PER_SECOND = 23
-"""Requests in a second that the rule allows for that rate."""
+"""Requests per second that the rule allows at this rate."""
 WARMUP_MS = 60_000.0
-"""Longer than any schedule, so that searchers that have become cold stay so."""
+"""Longer than any schedule, so that searchers remain cold."""
 SEND_INTERVAL_MS = 7.0
-"""How often each entry has a request for each searcher; many times as often as it may send one."""
+"""Interval between requests of each entry to each searcher, far shorter than permitted."""
 
 
 class FakeFollower:
-    """Knows the plan, as the follower of an entry does."""
+    """Fake follower with a fixed plan."""
 
     def __init__(self, per_s: float = RATE_PER_S):
         service = Service("shard", "/health", 51, WARMUP_MS, per_s)
@@ -25,16 +25,16 @@
 
 
 class SendingEntry:
-    """One process of an entry, which sends to all searchers as often as it may.
+    """Entry process that sends to all searchers as often as it may.
 
-    :param world: the searchers.
-    :param node: its membership.
+    :param simulation: provides the searchers.
+    :param node: simulated node with the membership of the entry.
     """
 
     def __init__(self, simulation: "WarmupSimulation", node: Node):
         self._simulation = simulation
         self.node = node
-        self.shares = WarmupLimiter(FakeFollower(), node.membership, lambda: RULE, node.now_ms)
+        self.limiter = WarmupLimiter(FakeFollower(), node.membership, lambda: RULE, node.now_ms)
         self.fleet = Fleet(node.now_ms, lambda observed: None)
         for searcher in simulation.searchers:
             self.fleet.put(searcher)
@@ -47,10 +47,10 @@
     def _send(self) -> None:
         now_ms = self.node.now_ms()
         for observed in self.fleet.all():
-            if self.shares.may_send(observed, now_ms):
+            if self.limiter.may_send(observed, now_ms):
                 self._last_number += 1
                 observed.on_sent(self._last_number, now_ms)
-                # Some wait for their connection, some are refused.
+                # Some requests wait for a connection.
                 wait_ms = self._simulation.entries.rng.choice((0.0, 0.0, 6.0, 300.0))
                 self.node.after(
                     wait_ms, lambda o=observed, n=self._last_number: self._written(o, n)
@@ -65,10 +65,10 @@
 
 
 class WarmupSimulation:
-    """A fleet of entries beside searchers of which one in each failure domain is cold.
+    """Simulated entries that send to one cold searcher in each failure domain.
 
     :param domains: names of the entries of each failure domain.
-    :param seed: of the random numbers.
+    :param seed: seed of the random numbers.
     """
 
     def __init__(self, domains: dict[str, list[str]], seed: int = 1):
@@ -96,7 +96,7 @@
         self.sent_ms[searcher].append(at_ms)
 
     def most_in_a_second(self) -> int:
-        """Count the requests of the sliding second in which a searcher gets most."""
+        """Return the maximum number of requests to one searcher in any sliding second."""
         return max((_most_in_a_second(times) for times in self.sent_ms.values()), default=0)
 
 
--- a/rhubarbhinge/gateway/tests/test_attempts.py
+++ b/rhubarbhinge/gateway/tests/test_attempts.py
@@ -1,10 +1,11 @@
-"""At how many searchers of a shard a request runs, counted there, whoever sends it.
-
-One invariant: an attempt begins when the bytes of a request are handed to a connection, by
-whichever entry, and is taken back only when its searcher says of this very request that it has
-not run it. At any time a request's attempts at one shard, those of all entries together, are no
-more than its route allows. An entry that is asked has one attempt a shard; each further one is
-counted by the entry that asks before it is sent, so that it stays counted when either is cut off.
+"""Tests for the number of searchers of a shard that execute a request, over all entries.
+
+Guards against a request being executed more often than its route allows when the entries that share
+its attempts are cut off from each other. An attempt begins when any entry hands the bytes of a
+request to a connection. It is undone only if the searcher replies that it has not run this request.
+At any time, the attempts of all entries at one shard must not exceed the limit of the route. An
+entry to which a shard is delegated has one attempt; the delegating entry counts each further one
+before it is sent, so that it remains counted if either entry is cut off.
 """
 
 import unittest
@@ -22,7 +23,7 @@
 
 class AttemptsTest(unittest.TestCase):
     def setUp(self):
-        # Thousands of links break; each would be a line.
+        # Thousands of links break, each of which would be logged.
         silenced = mock.patch.object(_delegates, "log_event")
         silenced.start()
         self.addCleanup(silenced.stop)
@@ -35,11 +36,11 @@
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=EXAMPLES)
     @given(st.integers(0, 1 << 32))
-    def test_no_more_searchers_of_a_shard_run_a_request_than_its_route_allows(self, seed):
+    def test_attempts_per_shard_never_exceed_the_limit_of_the_route(self, seed):
         simulation = self.simulate(seed)
         self.assertLessEqual(simulation.max_searchers(), simulation.max_attempts)
 
-    def test_the_schedules_reach_searchers_by_other_entries_and_all_attempts(self):
+    def test_simulations_cover_other_entries_and_all_attempts(self):
         worlds = [self.simulate(seed) for seed in range(40)]
         self.assertIn(3, {simulation.max_searchers() for simulation in worlds})
         self.assertTrue(any(simulation.network.servers["b-1"].conns for simulation in worlds))
--- a/rhubarbhinge/gateway/tests/test_domain_checks.py
+++ b/rhubarbhinge/gateway/tests/test_domain_checks.py
@@ -1,9 +1,9 @@
-"""Failure domains that may be out of reach, at 195 VMs with 87 shards of two searchers.
+"""Tests for reachability checks of failure domains, at 195 VMs with 87 shards of two searchers.
 
-The load: a third of all searchers go dark at once, or a domain is cut off and comes back. In a
-domain of 39 entries each entry hears a searcher's reply only every few hundred milliseconds, so
-that two silent searchers look like a domain that is cut off. What an entry does then, 195 do at
-once, and a searcher takes 120 connections from all of them: one from each is too many.
+Guards against a third of all searchers, or a whole failure domain, becoming unreachable at once. In
+a domain of 39 entries, each entry receives a reply of a searcher only every few hundred
+milliseconds, so two silent searchers look like a partitioned domain. All 195 entries react at once,
+and a searcher accepts 120 connections from all of them together, so one from each is too many.
 """
 
 import random
@@ -21,7 +21,7 @@
 
 
 class FakePool:
-    """Notes the connections that are opened; those to searchers that can be reached succeed."""
+    """Records the connections that are opened; those to reachable searchers succeed."""
 
     def __init__(self, timers: FakeTimers, reach, is_unreachable):
         self._timers = timers
@@ -49,7 +49,7 @@
 
 
 class EntryView:
-    """One entry's view."""
+    """The fleet as seen by one entry, with its domain checks."""
 
     def __init__(self, timers: FakeTimers, seed: int, is_unreachable):
         self.timers = timers
@@ -73,7 +73,7 @@
         self.changes += 1
 
     def fall_silent(self, *places: int) -> None:
-        """Have connections to two searchers of the first domain end in silence."""
+        """Report connections to searchers of the first domain as lost after silence."""
         for place in places:
             observed = self.of("hall-a")[place]
             observed.on_unreachable()
@@ -93,18 +93,18 @@
     def entry(self, is_unreachable, seed: int = 1) -> EntryView:
         return EntryView(self.timers, seed, is_unreachable)
 
-    def test_searchers_that_go_dark_cost_the_others_of_their_domain_nothing(self):
+    def test_unreachable_searchers_do_not_affect_others_in_their_domain(self):
         unreachable = {f"i-{shard}-0" for shard in range(0, SHARDS, 3)}
         entry = self.entry(lambda observed: observed.searcher.incarnation in unreachable)
         entry.fall_silent(0, 3)
-        # Nearly all serve on while it is found out; before, all 87 waited for a new connection.
+        # Nearly all keep serving during the check. Earlier, all 87 waited for a new connection.
         self.assertLessEqual(entry.down(), 2 + SAMPLE_SIZE)
         self.timers.advance(VERIFY_TIMEOUT_MS)
         self.assertLessEqual(entry.down(), 2 + SAMPLE_SIZE)
         self.assertLessEqual(len(entry.pool.opened), SAMPLE_SIZE)
         self.assertEqual(entry.pool.set_aside_searchers, [])
 
-    def test_a_domain_that_is_cut_off_is_given_up_at_once_and_whole(self):
+    def test_all_searchers_of_a_partitioned_domain_go_down_together(self):
         entry = self.entry(lambda observed: True)
         entry.fall_silent(0, 3)
         self.timers.advance(VERIFY_TIMEOUT_MS)
@@ -112,7 +112,7 @@
         self.assertEqual(entry.changes, 1)
         self.assertTrue(all(not one.is_down for one in entry.of("hall-b")))
 
-    def test_it_is_used_again_whole_as_soon_as_anything_is_heard_from_it(self):
+    def test_domain_is_used_again_once_anything_is_heard_from_it(self):
         cut = True
         entry = self.entry(lambda observed: cut)
         entry.fall_silent(0, 3)
@@ -120,18 +120,18 @@
         cut = False
         entry.checks.probe()
         self.timers.advance(10.0)
-        # The two that were found out one by one have been probed as well, and are up.
+        # The two that were found down individually have been probed as well and are up.
         self.assertEqual((entry.down(), entry.changes), (0, 2))
 
-    def test_those_that_were_found_out_alone_stay_down_until_they_are_reached(self):
+    def test_searchers_found_down_individually_stay_down_until_reached(self):
         entry = self.entry(lambda observed: True)
         entry.fall_silent(0, 3)
         self.timers.advance(VERIFY_TIMEOUT_MS)
         entry.reach.on_heard("hall-a")
-        # The sample of the check was found out by its own connections.
+        # The searchers of the sample were found down by their own connections.
         self.assertEqual(entry.down(), 2 + SAMPLE_SIZE)
 
-    def test_what_started_again_or_left_meanwhile_is_not_touched(self):
+    def test_restarted_or_moved_searchers_are_not_affected(self):
         entry = self.entry(lambda observed: True)
         entry.fall_silent(0, 3)
         self.timers.advance(VERIFY_TIMEOUT_MS)
@@ -143,7 +143,7 @@
         up = {one.searcher.incarnation for one in entry.of("hall-a") if not one.is_down}
         self.assertTrue({"i-8-0", "i-9-0"} <= up)
 
-    def test_no_searcher_gets_more_connections_than_it_takes_when_a_cut_heals(self):
+    def test_connections_per_searcher_stay_limited_when_a_partition_heals(self):
         cut = True
         entries = [self.entry(lambda observed: cut, seed) for seed in range(ENTRIES)]
         for entry in entries:
@@ -157,8 +157,8 @@
             for one in entry.pool.opened:
                 name = one.searcher.incarnation
                 opened[name] = opened.get(name, 0) + 1
-        # But for the two that every entry has found out for itself.
-        most = max(count for name, count in opened.items() if name not in ("i-0-0", "i-3-0"))
-        self.assertLess(most, MAX_CONNECTIONS / 4)
+        # Except for the two that every entry has found down individually.
+        highest = max(count for name, count in opened.items() if name not in ("i-0-0", "i-3-0"))
+        self.assertLess(highest, MAX_CONNECTIONS / 4)
         self.timers.advance(10.0)
         self.assertEqual(sum(entry.down() for entry in entries), 0)
--- a/rhubarbhinge/gateway/tests/test_fatal_requests.py
+++ b/rhubarbhinge/gateway/tests/test_fatal_requests.py
@@ -1,9 +1,10 @@
-"""A request that ends its searchers, sent again and again at any of five entries.
+"""Tests for the quarantine of a request that ends its searchers and is repeated at five entries.
 
-One invariant: later than 4 s after the third searcher has ended under it, at most three attempts of
-its caller reach any searcher, as far as the entries that take them have run for 4 s unpaused.
-Datagrams between entries are lost and late, entries are paused for up to seven seconds, searchers
-come back after three seconds, and links between entries are cut and reset.
+Guards against a fatal request that keeps ending searchers. From 4 s after the third searcher has
+ended, at most three attempts of its caller may reach any searcher, not counting attempts at entries
+that were started or paused within the last 4 s. Datagrams between entries are lost and delayed,
+entries are paused for up to seven seconds, searchers restart after three seconds, and links between
+entries are cut and reset.
 """
 
 import unittest
@@ -38,11 +39,11 @@
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=EXAMPLES)
     @given(st.integers(0, 1 << 32))
-    def test_few_attempts_reach_searchers_once_three_have_ended(self, seed):
+    def test_few_attempts_reach_searchers_after_three_have_ended(self, seed):
         simulation = self.simulate(seed)
         self.assertLessEqual(len(simulation.late_attempts()), MAX_LATE_ATTEMPTS)
 
-    def test_no_other_request_is_quarantined_and_the_schedules_reach_all_of_it(self):
+    def test_only_the_fatal_request_is_quarantined_in_varied_simulations(self):
         worlds = [self.simulate(seed) for seed in range(12)]
         for simulation in worlds:
             for entry in simulation.entries.values():
--- a/rhubarbhinge/gateway/tests/test_gateway.py
+++ b/rhubarbhinge/gateway/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""What callers are answered, and when."""
+"""Tests for the responses to callers and their timing."""
 
 import random
 import unittest
@@ -44,7 +44,7 @@
 
 
 class RecordingEventLog:
-    """Keeps events in place of writing them."""
+    """Records events instead of writing them."""
 
     def __init__(self):
         self.events: list[tuple[str, dict]] = []
@@ -89,13 +89,13 @@
     def retry_after(self) -> float:
         return float(dict(self.answers[0].headers)["Retry-After"])
 
-    def test_without_a_plan_a_request_is_refused_and_never_unknown(self):
+    def test_request_without_a_plan_is_refused_and_not_404(self):
         self.follower.plan = None
         self.ask("/one/x")
         self.assertEqual(self.status(), 503)
         self.assertLess(self.retry_after(), 1.0)
 
-    def test_one_in_so_many_requests_that_went_well_is_logged_with_its_steps(self):
+    def test_sample_of_successful_requests_is_logged_with_steps(self):
         log = RecordingEventLog()
         use_event_log(log)
         self.addCleanup(use_event_log, None)
@@ -107,7 +107,7 @@
         self.assertEqual({fields["why"] for fields in ends}, {"sampled"})
         self.assertEqual(sum(name == "attempt-sent" for name, _ in log.events), len(ends))
 
-    def test_an_unknown_route_is_404_only_while_the_plan_is_current(self):
+    def test_unknown_route_is_404_only_while_the_plan_is_current(self):
         self.ask("/none/")
         self.assertEqual(self.status(), 404)
         self.answers.clear()
@@ -115,7 +115,7 @@
         self.ask("/none/")
         self.assertEqual(self.status(), 503)
 
-    def test_a_failure_that_is_passed_on_is_logged(self):
+    def test_forwarded_failure_is_logged(self):
         log = RecordingEventLog()
         use_event_log(log)
         self.addCleanup(use_event_log, None)
@@ -139,12 +139,12 @@
         for part in ('kind="base"', 'kind="hedge"', 'code="broken"', 'class="one"'):
             self.assertIn(part, text)
 
-    def test_a_reply_is_passed_on(self):
+    def test_reply_is_forwarded(self):
         self.ask("/one/x")
         self.world.attempts[0].end(replied(body=b"whole"))
         self.assertEqual((self.status(), self.answers[0].body), (200, b"whole"))
 
-    def test_a_searcher_s_refusal_status_without_its_word_is_not_passed_on(self):
+    def test_unconfirmed_refusal_status_of_a_searcher_is_not_forwarded(self):
         for status in (503, 429, 408, 421):
             self.answers.clear()
             self.world.attempts.clear()
@@ -152,7 +152,7 @@
             self.world.attempts[0].end(replied(status))
             self.assertEqual(self.status(), 502)
 
-    def test_what_was_refused_by_all_is_refused_with_a_time_to_come_back(self):
+    def test_request_refused_by_all_searchers_gets_retry_after(self):
         self.ask("/once/x")
         for _ in range(4):
             self.world.attempts[-1].end(NotRun(Why.NO_ROOM))
@@ -160,12 +160,12 @@
         self.assertEqual(self.status(), 503)
         self.assertGreater(self.retry_after(), 0.0)
 
-    def test_what_may_have_run_is_never_called_refused(self):
+    def test_request_that_may_have_run_is_not_refused(self):
         self.ask("/once/x")
         self.world.attempts[0].end(Lost(Why.BROKEN))
         self.assertEqual(self.status(), 502)
 
-    def test_the_route_s_time_ends_the_wait_and_the_searcher(self):
+    def test_route_timeout_cancels_the_attempt(self):
         self.ask("/once/x")
         self.world.timers.advance(499.0)
         self.assertEqual(self.answers, [])
@@ -173,31 +173,31 @@
         self.assertEqual(self.status(), 504)
         self.assertTrue(self.world.attempts[0].cancelled)
 
-    def test_the_caller_s_time_ends_it_sooner(self):
+    def test_shorter_caller_deadline_applies(self):
         self.ask("/one/x", wait_ms=100.0)
         self.world.timers.advance(99.0)
         self.assertEqual(self.status(), 504)
 
-    def test_what_was_never_sent_is_refused_when_its_time_is_over(self):
+    def test_unsent_request_is_refused_at_its_deadline(self):
         self.world.unsent_next = True
         self.ask("/once/x")
         self.world.timers.advance(501.0)
         self.assertEqual(self.status(), 503)
 
-    def test_a_search_that_was_never_sent_is_refused_when_its_time_is_over(self):
-        # Half of the searchers are away and the others busy: it waited for connections only.
+    def test_unsent_search_is_refused_at_its_deadline(self):
+        # Half of the searchers are down and the others busy, so it only waited for connections.
         self.world.on_send = lambda: setattr(self.world, "unsent_next", True)
         self.ask("/all/x")
         self.world.timers.advance(600.0)
         self.assertEqual(self.status(), 503)
         self.assertGreater(self.retry_after(), 0.0)
 
-    def test_a_search_that_may_have_run_is_not_refused_when_its_time_is_over(self):
+    def test_search_that_may_have_run_times_out_at_its_deadline(self):
         self.ask("/all/x")
         self.world.timers.advance(600.0)
         self.assertEqual(self.status(), 504)
 
-    def test_a_caller_that_leaves_stops_the_searchers(self):
+    def test_disconnected_caller_cancels_attempts(self):
         for path in ("/one/x", "/all/x"):
             self.world.attempts.clear()
             responder = self.ask(path)
@@ -206,7 +206,7 @@
             self.world.timers.advance(1_000.0)
         self.assertEqual(self.answers, [])
 
-    def test_a_search_is_answered_with_what_is_there_before_the_objective(self):
+    def test_partial_search_is_answered_before_the_objective(self):
         self.ask("/all/x")
         for attempt in self.world.attempts[:3]:
             attempt.end(replied(signature=attempt.service))
@@ -214,14 +214,14 @@
         self.assertEqual(self.status(), 200)
         self.assertEqual(dict(self.answers[0].headers)["missing"], "1")
 
-    def test_a_search_with_too_few_shards_in_reach_is_refused_at_once(self):
+    def test_search_with_too_few_reachable_shards_is_refused_at_once(self):
         for name in ("s0-1", "s0-2", "s1-1", "s1-2"):
             self.world.observed(name).on_unreachable()
         self.ask("/all/x")
         self.world.timers.advance(0.0)
         self.assertEqual((self.status(), self.world.attempts), (503, []))
 
-    def test_a_refused_caller_comes_back_when_the_balancer_has_moved_it(self):
+    def test_retry_after_covers_the_reaction_time_of_the_balancer(self):
         for name in ("s0-1", "s0-2", "s1-1", "s1-2"):
             self.world.observed(name).on_unreachable()
         self.balancer_delay_ms = 1_500.0
@@ -230,7 +230,7 @@
         self.assertEqual(self.status(), 503)
         self.assertGreater(self.retry_after(), 1.0)
 
-    def test_an_entry_that_reaches_too_few_searchers_can_not_serve(self):
+    def test_entry_with_too_few_reachable_searchers_cannot_serve(self):
         self.assertTrue(self.gateway.can_serve())
         for _ in range(3):
             self.ask("/all/x")
@@ -241,7 +241,7 @@
             self.ask("/one/x")
         self.assertTrue(self.gateway.can_serve())
 
-    def test_callers_further_away_are_answered_sooner(self):
+    def test_transit_time_of_the_caller_is_deducted(self):
         self.ask("/all/x", transit_ms=30.0)
         for attempt in list(self.world.attempts)[:3]:
             attempt.end(replied(signature=attempt.service))
@@ -250,7 +250,7 @@
         self.world.timers.advance(10.0)
         self.assertEqual(self.status(), 200)
 
-    def test_requests_that_no_entry_can_serve_leave_it_ready(self):
+    def test_requests_that_no_entry_can_serve_do_not_affect_readiness(self):
         for name in ("s0", "s1", "s2", "s3"):
             for observed in list(self.world.fleet.of(name)):
                 self.world.fleet.remove(observed.searcher.incarnation)
@@ -262,7 +262,7 @@
             observed.on_unreachable()
         self.assertFalse(self.gateway.can_serve())
 
-    def test_a_request_keeps_to_the_plan_that_it_was_read_under(self):
+    def test_request_keeps_the_plan_under_which_it_was_accepted(self):
         self.ask("/all/x")
         newer = Route("all", "a", "/all/", True, 500.0, 100.0, 1, 2, (), ShardSet(("t0",), 2, 1.0))
         self.follower.plan = ServingPlan(2, (newer,), {}, CallerLimits())
--- a/rhubarbhinge/gateway/tests/test_link_usage.py
+++ b/rhubarbhinge/gateway/tests/test_link_usage.py
@@ -1,4 +1,4 @@
-"""What fills a VM's link."""
+"""Tests for the logging of high link usage."""
 
 import unittest
 from collections.abc import Iterator
@@ -29,20 +29,20 @@
             self.usage.close_period()
         yield log_event.mock_calls
 
-    def test_a_period_that_fills_the_link_is_logged_with_what_filled_it(self):
+    def test_busy_period_is_logged_with_bytes_by_kind(self):
         with self.period(2_000, 200_000) as calls:
             expected = mock.call(
                 "link-busy", period_ms=250, callers_bytes=2_000, state_bytes=200_000
             )
             self.assertEqual(calls, [expected])
 
-    def test_a_calm_period_is_not_logged_whatever_was_sent_before(self):
+    def test_calm_period_after_a_busy_one_is_not_logged(self):
         with self.period(2_000, 200_000):
             pass
         with self.period(2_000, 10_000) as calls:
             self.assertEqual(calls, [])
 
-    def test_nothing_is_concluded_where_the_rate_is_not_known(self):
+    def test_nothing_is_logged_if_the_link_rate_is_unknown(self):
         self.link_bits_per_ms = 0.0
         with self.period(2_000, 200_000) as calls:
             self.assertEqual(calls, [])
--- a/rhubarbhinge/gateway/tests/test_shard_delegation.py
+++ b/rhubarbhinge/gateway/tests/test_shard_delegation.py
@@ -1,4 +1,4 @@
-"""Which shards of a search are left to which entry."""
+"""Tests for the selection of the shards that are delegated to other entries."""
 
 import random
 import unittest
@@ -9,9 +9,9 @@
 
 
 class FakeDelegates:
-    """Entries by failure domain, all of them ready.
+    """Fake delegates with entries that are always ready.
 
-    :param by_domain: their addresses.
+    :param by_domain: addresses of the entries of each failure domain.
     """
 
     def __init__(self, by_domain: dict[str, list[str]]):
@@ -42,24 +42,24 @@
         sizes = {len(services) for services in assigned.values()}
         self.assertLessEqual(max(sizes) - min(sizes), 1)
 
-    def test_few_shards_near_this_entry_stay_here(self):
+    def test_few_local_shards_are_not_delegated(self):
         assigned = self.shards_for(MAX_SHARDS_PER_ENTRY, True, {"hall-a": ["10.0.0.2", "10.0.0.3"]})
         self.assertEqual(assigned, {})
 
-    def test_many_shards_are_split_evenly_among_entries_of_the_domain(self):
+    def test_many_local_shards_are_divided_evenly_in_the_domain(self):
         entries = {"hall-a": ["10.0.0.2", "10.0.0.3", "10.0.0.4"]}
         assigned = self.shards_for(3 * MAX_SHARDS_PER_ENTRY, True, entries)
         self.assert_split(assigned, {"10.0.0.2", "10.0.0.3"}, MAX_SHARDS_PER_ENTRY)
 
-    def test_fewer_entries_take_more_each(self):
+    def test_fewer_entries_take_more_shards_each(self):
         assigned = self.shards_for(90, True, {"hall-a": ["10.0.0.2"]})
         self.assert_split(assigned, {"10.0.0.2"}, 45)
         self.assertEqual(self.shards_for(90, True, {}), {})
 
-    def test_many_shards_of_another_domain_are_split_among_its_entries(self):
+    def test_many_shards_of_another_domain_are_divided_among_its_entries(self):
         assigned = self.shards_for(90, False, {"hall-b": ["10.0.1.2", "10.0.1.3", "10.0.1.4"]})
         self.assert_split(assigned, {"10.0.1.2", "10.0.1.3", "10.0.1.4"}, 0)
 
-    def test_a_single_shard_of_another_domain_is_left_to_an_entry_there(self):
+    def test_single_shard_of_another_domain_is_delegated_there(self):
         self.assertEqual(self.shards_for(1, False, {"hall-b": ["10.0.1.2"]}), {"10.0.1.2": ["s0"]})
         self.assertEqual(self.shards_for(1, False, {}), {})
--- a/rhubarbhinge/gateway/tests/test_split.py
+++ b/rhubarbhinge/gateway/tests/test_split.py
@@ -1,4 +1,4 @@
-"""Sharing requests by weight."""
+"""Tests for the weighted distribution of requests."""
 
 import unittest
 from collections import Counter
@@ -13,7 +13,7 @@
 
 
 class SplitterTest(unittest.TestCase):
-    def test_every_stretch_has_its_share(self):
+    def test_every_interval_matches_the_weights(self):
         splitter, shared = Splitter(), route(a=0.7, b=0.2, c=0.1)
         chosen = [splitter.next(shared) for _ in range(1_000)]
         for start in range(0, 1_000, 50):
@@ -21,13 +21,13 @@
             for name, weight in (("a", 0.7), ("b", 0.2), ("c", 0.1)):
                 self.assertAlmostEqual(counts[name], 50 * weight, delta=1.01)
 
-    def test_new_services_start_anew(self):
+    def test_changed_services_reset_the_weights(self):
         splitter = Splitter()
         for _ in range(7):
             splitter.next(route(a=0.9, b=0.1))
         counts = Counter(splitter.next(route(a=0.5, d=0.5)) for _ in range(10))
         self.assertEqual(counts, {"a": 5, "d": 5})
 
-    def test_a_service_without_weight_gets_nothing(self):
+    def test_service_with_zero_weight_gets_no_requests(self):
         splitter = Splitter()
         self.assertEqual({splitter.next(route(a=1.0, b=0.0)) for _ in range(20)}, {"a"})
