--- a/rhubarbhinge/delegation/_attempt_leave.py
+++ b/rhubarbhinge/delegation/_attempt_leave.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from rhubarbhinge.forward import Unlimited
-from rhubarbhinge.gather import EndedSearcher, FarNews
+from rhubarbhinge.gather import AttemptReport, EndedSearcher
 from rhubarbhinge.timing import TimerService
 
 
@@ -24,7 +24,9 @@
         before fared.
     """
 
-    def __init__(self, timers: TimerService, want: Callable[[tuple[str, ...], FarNews], None]):
+    def __init__(
+        self, timers: TimerService, want: Callable[[tuple[str, ...], AttemptReport], None]
+    ):
         self._timers = timers
         self._want = want
         self._ended: list[EndedSearcher] = []
@@ -101,4 +103,4 @@
         unsaid, self._unsaid = self._unsaid, []
         ended, self._ended = self._ended, []
         self._told_ends = self._told_ends or bool(ended)
-        self._want(tuple(unsaid), FarNews(tuple(ended), self._replied))
+        self._want(tuple(unsaid), AttemptReport(tuple(ended), self._replied))
--- a/rhubarbhinge/delegation/_delegates.py
+++ b/rhubarbhinge/delegation/_delegates.py
@@ -20,7 +20,7 @@
     Taken,
 )
 from rhubarbhinge.fleet import DomainReach
-from rhubarbhinge.gather import FarNews, GrantAttempts
+from rhubarbhinge.gather import AttemptReport, GrantAttempts
 from rhubarbhinge.members import Member, Membership
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
@@ -257,7 +257,7 @@
                 del self._asking[message.number]
             asking.on_answer(message)
         elif isinstance(message, LeaveWanted):
-            news = FarNews(message.ended, message.replied)
+            news = AttemptReport(message.ended, message.replied)
             granted = asking.grant(message.services, news)
             if granted:
                 self._send(asking.link, Leave(message.number, granted))
--- a/rhubarbhinge/delegation/_far_sends.py
+++ b/rhubarbhinge/delegation/_far_sends.py
@@ -16,7 +16,7 @@
     SendAttempt,
     Why,
 )
-from rhubarbhinge.gather import FarNews
+from rhubarbhinge.gather import AttemptReport
 from rhubarbhinge.timing import TimerService
 
 
@@ -144,7 +144,7 @@
         typical_ms = self._exchange.delays.quantile(0.5)
         self._exchange.searcher.on_cancelled(self._number, waited_ms, typical_ms, now_ms)
 
-    def grant_nothing(self, services: tuple[str, ...], news: FarNews) -> tuple[str, ...]:
+    def grant_nothing(self, services: tuple[str, ...], news: AttemptReport) -> tuple[str, ...]:
         """Agree to no second attempt of the other entry, as this one is the call's own.
 
         :param services: shards for which it wants one.
--- a/rhubarbhinge/delegation/_serving.py
+++ b/rhubarbhinge/delegation/_serving.py
@@ -18,7 +18,7 @@
 )
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import CallerRequest, CallTerms, SearcherReply, Story, Surroundings
-from rhubarbhinge.gather import FarNews, ShardCalls, ShardEnd, merge_greatest
+from rhubarbhinge.gather import AttemptReport, ShardCalls, ShardEnd, merge_greatest
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import Subscription, TimerService
@@ -157,7 +157,7 @@
         terms: CallTerms,
         delays: Delays,
         on_answer: Callable[[Answer], None],
-        want_leave: Callable[[tuple[str, ...], FarNews], None],
+        want_leave: Callable[[tuple[str, ...], AttemptReport], None],
     ):
         self._around = surroundings
         self._ask = ask
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -12,7 +12,7 @@
 from rhubarbhinge.fleet import Delays, DomainReach
 from rhubarbhinge.forward import Lost, Surroundings, Why
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
-from rhubarbhinge.gather import FarNews
+from rhubarbhinge.gather import AttemptReport
 from rhubarbhinge.members import Member, Membership, MemberState, Published
 from rhubarbhinge.net import Links
 from rhubarbhinge.timing import TimerService
@@ -66,7 +66,7 @@
             self.root
         )
 
-    def more(self, services: tuple[str, ...], news: FarNews) -> tuple[str, ...]:
+    def more(self, services: tuple[str, ...], news: AttemptReport) -> tuple[str, ...]:
         return self.leave(services)
 
     def wait(self, condition) -> None:
--- a/rhubarbhinge/delegation/tests/test_far_sends.py
+++ b/rhubarbhinge/delegation/tests/test_far_sends.py
@@ -6,7 +6,7 @@
 from rhubarbhinge.fleet import Searcher
 from rhubarbhinge.forward import Exchange, Lost, NotRun, Replied, SearchTerms, Why
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeAttempt, FakeWorld
-from rhubarbhinge.gather import FarNews
+from rhubarbhinge.gather import AttemptReport
 
 SEARCH = SearchTerms(5, 95.0)
 
@@ -76,7 +76,7 @@
         self.assertEqual((ask.services, ask.max_attempts, ask.top_k), (("s0",), 1, 5))
         self.assertEqual(ask.searcher, "far")
         self.assertEqual((ask.answer_in_ms, ask.left_ms), (84.0, 1_000.0))
-        self.assertEqual(self.delegates.grant(("s0",), FarNews()), ())
+        self.assertEqual(self.delegates.grant(("s0",), AttemptReport()), ())
         self.assertEqual(len(self.far.started_ms), 1)
         self.world.timers.advance(25.0)
         self.answer(services=("s0",))
--- a/rhubarbhinge/gather/__init__.py
+++ b/rhubarbhinge/gather/__init__.py
@@ -6,9 +6,9 @@
 from rhubarbhinge.gather._scatter_gather import ScatterGather
 from rhubarbhinge.gather._shard_calls import ShardCalls, ShardEnd
 from rhubarbhinge.gather._shard_delegation import (
+    AttemptReport,
     DelegatedSearch,
     EndedSearcher,
-    FarNews,
     GrantAttempts,
     PartialResult,
     ShardDelegation,
@@ -18,7 +18,7 @@
     "RECORD_BYTES",
     "DelegatedSearch",
     "EndedSearcher",
-    "FarNews",
+    "AttemptReport",
     "GatherTerms",
     "Gathered",
     "GrantAttempts",
--- a/rhubarbhinge/gather/_scatter_gather.py
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -10,8 +10,8 @@
 from rhubarbhinge.gather._results import Gathered, TooFewShards
 from rhubarbhinge.gather._shard_calls import ShardCalls, ShardEnd
 from rhubarbhinge.gather._shard_delegation import (
+    AttemptReport,
     DelegatedSearch,
-    FarNews,
     PartialResult,
     ShardDelegation,
 )
@@ -124,7 +124,7 @@
         self._delegated_attempts.update(services)
 
     def _grant_attempts(
-        self, address: str, wanted: tuple[str, ...], report: FarNews
+        self, address: str, wanted: tuple[str, ...], report: AttemptReport
     ) -> tuple[str, ...]:
         """Grant another entry one more attempt at shards, up to the attempt limit of the route.
 
--- a/rhubarbhinge/gather/_shard_delegation.py
+++ b/rhubarbhinge/gather/_shard_delegation.py
@@ -39,7 +39,7 @@
     mark: int
 
 
-class FarNews(Struct, frozen=True):
+class AttemptReport(Struct, frozen=True):
     """Progress of the attempts made by another entry.
 
     :param ended: searchers that ended while handling the request and were not reported before.
@@ -67,7 +67,7 @@
 """Selects the shards to delegate; returns lists of shards by the address of the other entry."""
 OnPartialResult = Callable[[PartialResult | None], None]
 """Called with each part, of which the last has no pending shards; None if the entry failed."""
-GrantAttempts = Callable[[tuple[str, ...], FarNews], tuple[str, ...]]
+GrantAttempts = Callable[[tuple[str, ...], AttemptReport], tuple[str, ...]]
 """Called with the shards for which the other entry requests one more attempt and the progress of
 its attempts so far; returns the shards for which the attempt is granted."""
 DelegateShards = Callable[
--- a/rhubarbhinge/gather/tests/scatter_gather_case.py
+++ b/rhubarbhinge/gather/tests/scatter_gather_case.py
@@ -5,7 +5,7 @@
 from rhubarbhinge.forward import UNLIMITED, AttemptControl, Lost, Story, Why
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 from rhubarbhinge.gather import (
-    FarNews,
+    AttemptReport,
     Gathered,
     GatherTerms,
     ScatterGather,
@@ -37,7 +37,7 @@
     def _ask(self, address, request, terms, services, on_part, grant):
         self.on_part[address] = on_part
         self.report_attempts[address] = grant
-        self.grant_attempts[address] = lambda services: grant(services, FarNews())
+        self.grant_attempts[address] = lambda services: grant(services, AttemptReport())
         return self
 
     def grant(self, services: tuple[str, ...]) -> None:
--- a/rhubarbhinge/gather/tests/test_ended_searchers.py
+++ b/rhubarbhinge/gather/tests/test_ended_searchers.py
@@ -6,7 +6,7 @@
 """
 
 from rhubarbhinge.forward import Lost, NotRun, Why
-from rhubarbhinge.gather import EndedSearcher, FarNews, ShardDelegation
+from rhubarbhinge.gather import AttemptReport, EndedSearcher, ShardDelegation
 from rhubarbhinge.gather.tests.scatter_gather_case import SHARDS, ScatterGatherCase
 from rhubarbhinge.quarantine import RequestWatch
 
@@ -75,7 +75,7 @@
         address = "10.0.0.9"
         self.start(delegated={address: ["s2", "s3"]})
         self.end_searchers("s0", "s1")
-        ended = FarNews((EndedSearcher("s2", 7), EndedSearcher("s3", 8)))
+        ended = AttemptReport((EndedSearcher("s2", 7), EndedSearcher("s3", 8)))
         self.assertEqual(self.delegated.report_attempts[address](("s2", "s3"), ended), ())
         self.answer("s0")
         self.assertEqual(self.delegated.granted, ["s2", "s3"])
@@ -85,16 +85,20 @@
         self.start(delegated={address: ["s2", "s3"]})
         self.end_searchers("s0", "s1")
         sent = len(self.world.attempts)
-        self.assertEqual(self.delegated.report_attempts[address]((), FarNews((), replied=True)), ())
+        self.assertEqual(
+            self.delegated.report_attempts[address]((), AttemptReport((), replied=True)), ()
+        )
         self.assertEqual(len(self.world.attempts), sent + 1)
 
     def test_searchers_ended_at_another_entry_stop_the_search_here(self):
         address = "10.0.0.9"
         self.start(delegated={address: ["s2", "s3"]})
         report_attempts = self.delegated.report_attempts[address]
-        self.assertEqual(report_attempts(("s2",), FarNews((EndedSearcher("s2", 7),))), ("s2",))
+        self.assertEqual(
+            report_attempts(("s2",), AttemptReport((EndedSearcher("s2", 7),))), ("s2",)
+        )
         self.end_searchers("s0")
-        self.assertEqual(report_attempts((), FarNews((EndedSearcher("s2", 9),))), ())
+        self.assertEqual(report_attempts((), AttemptReport((EndedSearcher("s2", 9),))), ())
         self.assertEqual(self.marks, [(7, self.mark("s0"), 9)])
         self.assertEqual(self.delegated.cancelled, 1)
 
