--- a/rhubarbhinge/delegation/_serving.py
+++ b/rhubarbhinge/delegation/_serving.py
@@ -18,7 +18,7 @@
 )
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import CallerRequest, CallTerms, SearcherReply, Story, Surroundings
-from rhubarbhinge.gather import AttemptReport, ShardCalls, ShardEnd, merge_greatest
+from rhubarbhinge.gather import AttemptReport, ShardCalls, ShardOutcome, merge_greatest
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import Subscription, TimerService
@@ -194,7 +194,7 @@
             self._timer.cancel()
         self._calls.cancel()
 
-    def _ended(self, end: ShardEnd) -> None:
+    def _ended(self, end: ShardOutcome) -> None:
         self._may_have_run = self._may_have_run or end.may_have_run
         if end.reply is not None:
             self._parts[end.service] = end.reply
--- a/rhubarbhinge/gather/__init__.py
+++ b/rhubarbhinge/gather/__init__.py
@@ -4,7 +4,7 @@
 from rhubarbhinge.gather._merge import RECORD_BYTES, merge_greatest
 from rhubarbhinge.gather._results import Gathered, TooFewShards
 from rhubarbhinge.gather._scatter_gather import ScatterGather
-from rhubarbhinge.gather._shard_calls import ShardCalls, ShardEnd
+from rhubarbhinge.gather._shard_calls import ShardCalls, ShardOutcome
 from rhubarbhinge.gather._shard_delegation import (
     AttemptReport,
     DelegatedSearch,
@@ -26,7 +26,7 @@
     "ScatterGather",
     "ShardCalls",
     "ShardDelegation",
-    "ShardEnd",
+    "ShardOutcome",
     "TooFewShards",
     "merge_greatest",
 ]
--- a/rhubarbhinge/gather/_scatter_gather.py
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -8,7 +8,7 @@
 from rhubarbhinge.gather._gather_terms import GatherTerms
 from rhubarbhinge.gather._merge import merge_greatest
 from rhubarbhinge.gather._results import Gathered, TooFewShards
-from rhubarbhinge.gather._shard_calls import ShardCalls, ShardEnd
+from rhubarbhinge.gather._shard_calls import ShardCalls, ShardOutcome
 from rhubarbhinge.gather._shard_delegation import (
     AttemptReport,
     DelegatedSearch,
@@ -182,7 +182,7 @@
         self._bodies.append(part.body)
         self._calls.start(part.untried)
 
-    def _on_shard_end(self, end: ShardEnd) -> None:
+    def _on_shard_end(self, end: ShardOutcome) -> None:
         if self._finished:
             return
         self._may_have_run = self._may_have_run or end.may_have_run
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -21,7 +21,7 @@
 """Used for shards whose searchers have not received the request before."""
 
 
-class ShardEnd(Struct, frozen=True):
+class ShardOutcome(Struct, frozen=True):
     """Outcome of the call to one shard.
 
     :param service: the shard.
@@ -53,7 +53,7 @@
         request: CallerRequest,
         terms: CallTerms,
         delays: Delays,
-        on_end: Callable[[ShardEnd], None],
+        on_end: Callable[[ShardOutcome], None],
         request_log: Story,
     ):
         self._context = context
@@ -117,4 +117,4 @@
             return
         reply = result.reply if isinstance(result, Passed) else None
         usable_reply = reply if reply is not None and reply.succeeded and reply.signature else None
-        self._on_end(ShardEnd(call.service, usable_reply, call.arrived, call.may_have_run))
+        self._on_end(ShardOutcome(call.service, usable_reply, call.arrived, call.may_have_run))
