--- a/rhubarbhinge/gateway/__init__.py
+++ b/rhubarbhinge/gateway/__init__.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.gateway._gateway import Gateway
 from rhubarbhinge.gateway._gateway_dependencies import GatewayDependencies
 from rhubarbhinge.gateway._run_entry import run_entry
-from rhubarbhinge.gateway._split import Splitter
+from rhubarbhinge.gateway._weighted_round_robin import WeightedRoundRobin
 
 __all__ = [
     "Address",
@@ -17,6 +17,6 @@
     "Gateway",
     "GatewayDependencies",
     "SettingsError",
-    "Splitter",
+    "WeightedRoundRobin",
     "run_entry",
 ]
--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -8,7 +8,7 @@
 from rhubarbhinge.gateway._recent_requests import RecentRequests
 from rhubarbhinge.gateway._request_handler import RequestHandler
 from rhubarbhinge.gateway._responses import refused, unknown_route
-from rhubarbhinge.gateway._split import Splitter
+from rhubarbhinge.gateway._weighted_round_robin import WeightedRoundRobin
 from rhubarbhinge.plans import Route, ServingPlan
 from rhubarbhinge.quarantine import ONE_FIRST, Quarantined
 from rhubarbhinge.telemetry import log_event
@@ -29,7 +29,7 @@
     def __init__(self, dependencies: GatewayDependencies):
         self._dependencies = dependencies
         self._follower = dependencies.follower
-        self._splitter = Splitter()
+        self._round_robin = WeightedRoundRobin()
         self._delays: dict[str, Delays] = {}
         self._recent_requests = RecentRequests(dependencies.context.timers.now_ms)
 
@@ -39,7 +39,7 @@
         :param plan: the plan.
         """
         names = {route.name for route in plan.routes}
-        self._splitter.retain(names)
+        self._round_robin.retain(names)
         self._dependencies.lead_time.retain(names)
         self._dependencies.quarantine.on_routes(names)
         for name in self._delays.keys() - names:
@@ -99,7 +99,7 @@
             handler.gather(self.delays_of(route.name, route.target_latency_ms))
         else:
             handler.forward(
-                self._splitter.next(route), self.delays_of(route.name, route.target_latency_ms)
+                self._round_robin.next(route), self.delays_of(route.name, route.target_latency_ms)
             )
 
     def _route_not_found(self, caller_request: CallerRequest, plan: ServingPlan) -> Response:
--- a/rhubarbhinge/gateway/_split.py
+++ b/rhubarbhinge/gateway/_weighted_round_robin.py
@@ -3,7 +3,7 @@
 from rhubarbhinge.plans import Route
 
 
-class Splitter:
+class WeightedRoundRobin:
     """Distributes the requests of each route over its services by smooth weighted round robin.
 
     The service with the greatest current weight is next, so that the share of each service is met
--- a/rhubarbhinge/gather/__init__.py
+++ b/rhubarbhinge/gather/__init__.py
@@ -16,9 +16,9 @@
 
 __all__ = [
     "RECORD_BYTES",
+    "AttemptReport",
     "DelegatedSearch",
     "EndedSearcher",
-    "AttemptReport",
     "GatherTerms",
     "Gathered",
     "GrantAttempts",
--- a/rhubarbhinge/peers/tests/test_state_codec.py
+++ b/rhubarbhinge/peers/tests/test_state_codec.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.fleet import Fleet, Searcher
-from rhubarbhinge.gateway import Splitter
+from rhubarbhinge.gateway import WeightedRoundRobin
 from rhubarbhinge.peers import KnownState, StateError, ToldState, decode_state, encode_state
 from rhubarbhinge.plans import (
     CallerLimits,
@@ -148,4 +148,4 @@
     for route in plan.routes:
         plan.find(route.host, route.path_prefix)
         if route.shards is None:
-            Splitter().next(route)
+            WeightedRoundRobin().next(route)
