--- a/rhubarbhinge/gateway/_domain_checks.py
+++ b/rhubarbhinge/gateway/_domain_checks.py
@@ -12,8 +12,8 @@
 """Number of searchers to which connections are opened to check whether their failure domain is
 reachable. If half of the searchers of a domain are down, at least one of three answers with a
 probability of 7/8. With this sample size, 195 entries together open about three connections to each
-of 174 searchers; if each entry connected to every searcher, the searchers would receive more
-connections than they accept."""
+of 174 searchers. One connection from every entry to each searcher would be more than a searcher
+accepts."""
 VERIFY_TIMEOUT_MS = 30.0
 """A failure domain counts as unreachable if no searcher of the sample has answered within this
 time. Opening a connection takes 6 ms plus two network crossings; a connection that opens later
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -36,7 +36,7 @@
 from rhubarbhinge.web import HttpClient, HttpLimits, HttpServer
 
 NO_PLAN_WAIT_MS = 600.0
-"""Callers wait this long for the first plan, which takes 30 ms; afterwards they are refused."""
+"""Callers wait this long for the first plan, which takes 30 ms; then they are refused at once."""
 HOUSEKEEPING_MS = 250.0
 """Interval of the periodic work on connections, log and serving state, and of reconnection attempts
 to unreachable searchers. The work is done together because each wake-up has a cost."""
--- a/rhubarbhinge/gateway/_request_handler.py
+++ b/rhubarbhinge/gateway/_request_handler.py
@@ -117,7 +117,7 @@
         call = ServiceCall(
             context, self._request, service, terms, delays, self._on_forwarded, self._request_log
         )
-        self._start_timer(call.cancel, lambda: self._on_timeout(call))
+        self._register_cancellation(call.cancel, lambda: self._on_timeout(call))
         call.start()
 
     def gather(self, delays: Delays) -> None:
@@ -145,7 +145,7 @@
             self._on_gathered,
             self._request_log,
         )
-        self._start_timer(search.cancel, search.time_out)
+        self._register_cancellation(search.cancel, search.time_out)
         search.start()
 
     def _terms(self, delays: Delays, due_ms: float, top_k: int | None = None) -> CallTerms:
@@ -164,7 +164,9 @@
         )
         return replace(terms, control=self._watch)
 
-    def _start_timer(self, cancel: Callable[[], None], on_timeout: Callable[[], None]) -> None:
+    def _register_cancellation(
+        self, cancel: Callable[[], None], on_timeout: Callable[[], None]
+    ) -> None:
         self._cancel = cancel
         self._responder.on_abandoned(self._on_caller_gone)
         wait_ms = self._deadline_ms - self._started_ms
--- a/rhubarbhinge/gateway/_shard_delegation.py
+++ b/rhubarbhinge/gateway/_shard_delegation.py
@@ -16,9 +16,9 @@
 from rhubarbhinge.gather import GatherTerms, GrantAttempts, PartialResult, ShardDelegation
 
 MAX_SHARDS_PER_ENTRY = 15
-"""Maximum number of shards that one entry searches; larger searches are divided among several
-entries. With more shards, the processor or the network link of one small VM would use up most of a
-short latency objective."""
+"""Number of shards per entry above which a search is divided among more entries, if there are any.
+With more shards, the processor or the network link of one small VM would use up most of a short
+latency objective."""
 
 
 def shard_delegation(
