--- /dev/null
+++ b/rhubarbhinge/gateway/_connection_limit.py
@@ -0,0 +1,41 @@
+"""Limit of the connections of this entry to each searcher."""
+
+import math
+from collections.abc import Callable
+
+from rhubarbhinge.fleet import ObservedSearcher
+from rhubarbhinge.members import Membership
+from rhubarbhinge.published import Follower
+
+IN_FLIGHT_FACTOR = 3.0
+"""Concurrent requests that the entries of a searcher's failure domain send it, as a multiple of its
+slots. This keeps the searcher busy; further requests wait here, where they can be dropped once they
+are too late."""
+MIN_IN_FLIGHT = 2
+"""Concurrent requests that one entry may send to a searcher regardless of the number of entries."""
+DEFAULT_CONNECTIONS = 2
+"""Connections to a searcher whose service is not in the plan."""
+
+
+def connection_limit(
+    follower: Follower, membership: Membership, processes: Callable[[], int]
+) -> Callable[[ObservedSearcher], int]:
+    """Divide the connections that searchers accept among the live entries.
+
+    :param follower: provides the plan, which contains the connection limit of each service.
+    :param membership: provides the entries of each failure domain.
+    :param processes: returns the maximum number of running entries.
+    :returns: function that returns the maximum number of connections to a searcher.
+    """
+
+    def limit(observed: ObservedSearcher) -> int:
+        plan = follower.plan
+        service = plan.services.get(observed.searcher.service) if plan else None
+        if service is None:
+            return DEFAULT_CONNECTIONS
+        even_share = service.max_connections // processes()
+        domain_entries = max(1, membership.live_count(observed.searcher.failure_domain))
+        busy_share = math.ceil(IN_FLIGHT_FACTOR * observed.searcher.capacity / domain_entries)
+        return max(1, min(even_share, max(MIN_IN_FLIGHT, busy_share)))
+
+    return limit
--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -1,66 +1,66 @@
-"""From a caller's request to its answer."""
+"""Routing of callers' requests."""
 
 from collections.abc import Callable
 
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import CallerRequest
-from rhubarbhinge.gateway._answers import refused, unknown_route
-from rhubarbhinge.gateway._gateway_parts import GatewayParts
-from rhubarbhinge.gateway._handling import Handling
-from rhubarbhinge.gateway._recent_routes import RecentRoutes
-from rhubarbhinge.gateway._split import Splitter
+from rhubarbhinge.gateway._gateway_dependencies import GatewayDependencies
+from rhubarbhinge.gateway._recent_requests import RecentRequests
+from rhubarbhinge.gateway._request_handler import RequestHandler
+from rhubarbhinge.gateway._responses import refused, unknown_route
+from rhubarbhinge.gateway._weighted_round_robin import WeightedRoundRobin
 from rhubarbhinge.plans import Route, ServingPlan
 from rhubarbhinge.quarantine import ONE_FIRST, Quarantined
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.web import Request, Responder, Response
 
-TYPICAL_SHARE = 0.2
-"""Part of the latency objective that a shard is assumed to take before any was seen."""
+INITIAL_DELAY_FRACTION = 0.2
+"""Assumed reply time as a fraction of the latency objective, before enough were measured."""
 NO_PLAN_RETRY_AFTER_MS = 300.0
-"""A starting entry has read its configuration within some tenths of a second."""
+"""A starting entry reads its configuration within some tenths of a second."""
 
 
 class Gateway:
-    """Answers callers by the newest plan; each request keeps to the plan it was read under.
+    """Routes requests by the newest plan; each request keeps the plan under which it was accepted.
 
-    :param parts: what requests share.
+    :param dependencies: dependencies shared by all requests.
     """
 
-    def __init__(self, parts: GatewayParts):
-        self._parts = parts
-        self._follower = parts.follower
-        self._splitter = Splitter()
+    def __init__(self, dependencies: GatewayDependencies):
+        self._dependencies = dependencies
+        self._follower = dependencies.follower
+        self._round_robin = WeightedRoundRobin()
         self._delays: dict[str, Delays] = {}
-        self._recent = RecentRoutes(parts.surroundings.timers.now_ms)
+        self._recent_requests = RecentRequests(dependencies.context.timers.now_ms)
 
     def on_plan(self, plan: ServingPlan) -> None:
-        """Follow a new plan.
+        """Adopt a new plan.
 
         :param plan: the plan.
         """
         names = {route.name for route in plan.routes}
-        self._splitter.keep(names)
-        self._parts.lead.keep(names)
-        self._parts.quarantine.on_routes(names)
+        self._round_robin.retain(names)
+        self._dependencies.lead_time.retain(names)
+        self._dependencies.quarantine.on_routes(names)
         for name in self._delays.keys() - names:
             del self._delays[name]
 
     def can_serve(self) -> bool:
-        """Tell whether most of what callers ask for can be served here, if it can be anywhere.
+        """Check whether most recent requests could be served here, if they could be anywhere.
 
-        Requests for which too few searchers are published don't count: callers who are sent to
-        other entries are not served there either.
+        Requests for which too few searchers are published are not counted, as no other entry could
+        serve them either.
 
-        :returns: whether the routes that most of the recent requests took have searchers that
-            can be reached.
+        :returns: whether the routes of at least half of the counted requests have enough reachable
+            searchers.
         """
         plan = self._follower.plan
         if plan is None:
             return False
-        fleet = self._parts.surroundings.fleet
+        fleet = self._dependencies.context.fleet
         by_name = {route.name: route for route in plan.routes}
         servable = served = 0
-        for name, requests in self._recent.counts():
+        for name, requests in self._recent_requests.counts():
             route = by_name.get(name)
             if route is not None and _has_enough(route, fleet.is_published):
                 servable += requests
@@ -69,12 +69,12 @@
         return 2 * served >= servable
 
     def handle(self, request: Request, responder: Responder) -> None:
-        """Take a caller's request.
+        """Handle a request of a caller.
 
         :param request: the request.
-        :param responder: answers it.
+        :param responder: sends the response.
         """
-        asked = self._parts.dialect.caller_request(request)
+        caller_request = self._dependencies.dialect.caller_request(request)
         plan = self._follower.plan
         if plan is None:
             message = "This entry has no configuration yet."
@@ -82,29 +82,31 @@
             return
         route = plan.find(request.headers.get("host", ""), request.target.partition("?")[0])
         if route is None:
-            responder.answer(self._no_route(asked, plan))
+            responder.answer(self._route_not_found(caller_request, plan))
             return
-        self._recent.add(route.name)
-        handling = Handling(self._parts, asked, plan, route, responder, request.transit_ms)
-        verdict = self._parts.quarantine.verdict(
-            asked.fingerprint, route.name, spreads=route.shards is not None
+        self._recent_requests.add(route.name)
+        handler = RequestHandler(
+            self._dependencies, caller_request, plan, route, responder, request.transit_ms
+        )
+        verdict = self._dependencies.quarantine.verdict(
+            caller_request.fingerprint, route.name, spreads=route.shards is not None
         )
         if isinstance(verdict, Quarantined):
-            handling.refuse(verdict)
+            handler.refuse(verdict)
             return
-        handling.watch(verdict == ONE_FIRST)
+        handler.watch(verdict == ONE_FIRST)
         if route.shards is not None:
-            handling.gather(self.delays_of(route.name, route.target_latency_ms))
+            handler.gather(self.delays_of(route.name, route.target_latency_ms))
         else:
-            handling.forward(
-                self._splitter.next(route), self.delays_of(route.name, route.target_latency_ms)
+            handler.forward(
+                self._round_robin.next(route), self.delays_of(route.name, route.target_latency_ms)
             )
 
-    def _no_route(self, asked: CallerRequest, plan: ServingPlan) -> Response:
+    def _route_not_found(self, caller_request: CallerRequest, plan: ServingPlan) -> Response:
         current = self._follower.is_current()
         log_event(
             "no-route",
-            request=asked.id,
+            request=caller_request.id,
             plan=plan.version,
             age_ms=round(self._follower.age_ms()),
             current=current,
@@ -115,21 +117,22 @@
         return refused("stale-plan", message, NO_PLAN_RETRY_AFTER_MS)
 
     def delays_of(self, route_name: str, target_latency_ms: float) -> Delays:
-        """Give the usual delays on a route.
+        """Return the recent reply times on a route.
 
         :param route_name: the route.
-        :param target_latency_ms: its latency objective, from which they are guessed at first.
-        :returns: the delays.
+        :param target_latency_ms: latency objective of the route, from which the first estimate is
+            derived.
+        :returns: the reply times.
         """
         delays = self._delays.get(route_name)
         if delays is None:
-            delays = Delays(TYPICAL_SHARE * target_latency_ms)
+            delays = Delays(INITIAL_DELAY_FRACTION * target_latency_ms)
             self._delays[route_name] = delays
         return delays
 
 
 def _has_enough(route: Route, has_searcher: Callable[[str], bool]) -> bool:
-    """Tell whether enough services of a route have a searcher, of the kind that is asked for."""
+    """Check whether enough services of a route have a searcher according to a predicate."""
     if route.shards is None:
         return any(has_searcher(part.name) for part in route.services)
     return route.shards.is_enough(sum(has_searcher(name) for name in route.shards.services))
--- /dev/null
+++ b/rhubarbhinge/gateway/_shard_delegation.py
@@ -0,0 +1,135 @@
+"""Selection of the shards of a search that are delegated to other entries.
+
+Shards without a searcher in this failure domain are delegated to an entry near their searchers,
+which has the best information about them. Large numbers of shards are divided among several
+entries, so that neither the processor nor the network link of one VM delays the whole search.
+"""
+
+import math
+import random
+from collections import Counter
+from collections.abc import Callable, Iterable
+
+from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, Delegate, Delegates
+from rhubarbhinge.fleet import Fleet
+from rhubarbhinge.forward import CallerRequest, Surroundings
+from rhubarbhinge.gather import GatherTerms, GrantAttempts, PartialResult, ShardDelegation
+
+MAX_SHARDS_PER_ENTRY = 15
+"""Number of shards per entry above which a search is divided among more entries, if there are any.
+With more shards, the processor or the network link of one small VM would use up most of a short
+latency objective."""
+
+
+def shard_delegation(
+    failure_domain: str,
+    context: Surroundings,
+    delegates: Delegates,
+    rng: random.Random,
+) -> ShardDelegation:
+    """Create the delegation of shards to entries in this and other failure domains.
+
+    :param failure_domain: failure domain of this entry.
+    :param context: state shared by all requests.
+    :param delegates: sends delegated shards to other entries.
+    :param rng: breaks ties between failure domains.
+    :returns: the delegation.
+    """
+
+    def shards_for(
+        request: CallerRequest, terms: GatherTerms, reachable: Iterable[str]
+    ) -> dict[str, list[str]]:
+        reachable = list(reachable)
+        remote = _remote_domains(context.fleet, failure_domain, reachable)
+        local = [service for service in reachable if service not in remote]
+        by_address = {}
+        while remote:
+            domain, services = _largest_group(remote, rng)
+            for service in services:
+                del remote[service]
+            addresses = delegates.choose(domain, _entry_count(services))
+            by_address.update(_split_evenly(services, addresses))
+        others = delegates.choose(failure_domain, _entry_count(local) - 1)
+        # The empty address stands for this entry, which keeps the first part.
+        by_address.update(_split_evenly(local, ["", *others]))
+        by_address.pop("", None)
+        return by_address
+
+    def ask(
+        address: str,
+        request: CallerRequest,
+        terms: GatherTerms,
+        services: list[str],
+        on_part: Callable[[PartialResult | None], None],
+        grant: GrantAttempts,
+    ) -> Delegate:
+        now_ms = context.timers.now_ms()
+        message = Ask(
+            number=0,
+            request_id=request.id,
+            head=request.head,
+            body=request.body,
+            route=terms.route_name,
+            services=tuple(services),
+            top_k=terms.shards.top_k,
+            priority=terms.call.priority,
+            max_attempts=terms.call.max_attempts,
+            target_latency_ms=terms.target_latency_ms,
+            answer_in_ms=max(0.0, terms.answer_by_ms - now_ms - ANSWER_MARGIN_MS),
+            left_ms=max(0.0, terms.call.deadline_ms - now_ms),
+        )
+        return delegates.ask(
+            address, message, lambda answer: on_part(_partial_result(answer)), grant
+        )
+
+    return ShardDelegation(shards_for, ask)
+
+
+def _remote_domains(
+    fleet: Fleet, failure_domain: str, services: Iterable[str]
+) -> dict[str, set[str]]:
+    """Return the failure domains of the searchers of each service without one in this domain."""
+    remote = {}
+    for service in services:
+        domains = {
+            one.searcher.failure_domain
+            for one in fleet.of(service)
+            if one.usable and not one.is_down
+        }
+        if failure_domain not in domains:
+            remote[service] = domains
+    return remote
+
+
+def _largest_group(remote: dict[str, set[str]], rng: random.Random) -> tuple[str, list[str]]:
+    """Choose the domain with searchers of the most services, with ties broken at random."""
+    counts = Counter(domain for domains in remote.values() for domain in domains)
+    domain = max(counts, key=lambda name: (counts[name], rng.random()))
+    return domain, [service for service, domains in remote.items() if domain in domains]
+
+
+def _entry_count(services: list[str]) -> int:
+    """Compute the number of entries among which shards are divided."""
+    return max(1, math.ceil(len(services) / MAX_SHARDS_PER_ENTRY))
+
+
+def _split_evenly(services: list[str], addresses: list[str]) -> dict[str, list[str]]:
+    """Divide shards evenly among addresses."""
+    return {
+        address: services[index :: len(addresses)]
+        for index, address in enumerate(addresses)
+        if services[index :: len(addresses)]
+    }
+
+
+def _partial_result(answer: Answer | None) -> PartialResult | None:
+    if answer is None:
+        return None
+    return PartialResult(
+        answer.services,
+        answer.signatures,
+        answer.untried,
+        answer.pending,
+        answer.may_have_run,
+        answer.body,
+    )
--- a/rhubarbhinge/gateway/_shutdown.py
+++ b/rhubarbhinge/gateway/_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful end of an entry."""
+"""Graceful shutdown of an entry."""
 
 from collections.abc import Callable
 
@@ -7,20 +7,21 @@
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.web import HttpServer
 
-UNREADY_MS = 3_200.0
-"""A stopping entry goes on this long: the balancer needs two misses, a second apart, to notice."""
+MIN_SHUTDOWN_MS = 3_200.0
+"""Minimum duration of a shutdown: the load balancer needs two failed checks, one second apart, to
+notice that the entry is not ready."""
 STOP_MARGIN_MS = 500.0
-"""A stopping entry ends this much before it would be killed."""
+"""A stopping entry ends this long before it would be killed."""
 STOP_POLL_MS = 20.0
-"""How often a stopping entry looks whether all is answered."""
+"""Interval at which a stopping entry checks whether all requests are answered."""
 
 
 class Shutdown:
-    """Waits until the balancer has noticed and all is answered, then ends the process.
+    """Ends the process once the load balancer has reacted and all requests are answered.
 
     :param timers: the timer service.
-    :param callers: serves callers.
-    :param asks: serves other entries.
+    :param callers: server for callers.
+    :param asks: server for other entries.
     :param end: ends the process.
     """
 
@@ -35,28 +36,28 @@
         self._callers = callers
         self._asks = asks
         self._end = end
-        self._end_by_ms = 0.0
-        self._quiet_at_ms = 0.0
+        self._latest_end_ms = 0.0
+        self._earliest_end_ms = 0.0
 
     def begin(self, grace_ms: float) -> None:
-        """Close idle connections, answer what comes, then end.
+        """Close idle connections, answer remaining requests, then end the process.
 
         :param grace_ms: time until the process would be killed.
         """
         now_ms = self._timers.now_ms()
-        left_ms = grace_ms - STOP_MARGIN_MS
-        self._end_by_ms = now_ms + left_ms
-        self._quiet_at_ms = now_ms + min(UNREADY_MS, left_ms)
+        available_ms = grace_ms - STOP_MARGIN_MS
+        self._latest_end_ms = now_ms + available_ms
+        self._earliest_end_ms = now_ms + min(MIN_SHUTDOWN_MS, available_ms)
         log_event("stop-started", open_requests=self._callers.open_requests)
         self._callers.begin_closing()
-        self._timers.every(STOP_POLL_MS, self._look)
+        self._timers.every(STOP_POLL_MS, self._poll)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         now_ms = self._timers.now_ms()
-        late = now_ms >= self._end_by_ms
+        late = now_ms >= self._latest_end_ms
         open_work = self._callers.open_requests + self._asks.open_asks
         unsent_bytes = self._callers.unsent_bytes + self._asks.unsent_bytes
         answered = open_work == 0 and unsent_bytes == 0
-        if late or (answered and now_ms >= self._quiet_at_ms):
+        if late or (answered and now_ms >= self._earliest_end_ms):
             log_event("stopped", open_requests=self._callers.open_requests, late=late)
             self._end()
