--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -160,7 +160,7 @@
 
         self._store.read_all(done, may_be_old=first)
 
-    def ask_for_all(self) -> None:
+    def request_full_state(self) -> None:
         """Have the next wait bring everything, or the fault that all has to be listed."""
         self._wants_all = True
 
--- a/rhubarbhinge/peers/_state_pull.py
+++ b/rhubarbhinge/peers/_state_pull.py
@@ -61,7 +61,7 @@
         now_ms = self._timers.now_ms()
         known = published(self._follower)
         ahead = self._reports.ahead(known, now_ms)
-        if not ahead and self._follower.needs_peers and self._follower.wants_all:
+        if not ahead and self._follower.needs_peers and self._follower.needs_full_state:
             ahead = self._reports.level(known, now_ms)
         if not ahead:
             self._behind_since_ms = None
--- a/rhubarbhinge/peers/_state_service.py
+++ b/rhubarbhinge/peers/_state_service.py
@@ -88,7 +88,7 @@
         log = self._follower.log
         whole = isinstance(state, Snapshot)
         same_searchers = whole and place.searchers == self._follower.searchers_digest() != ""
-        base_plan = None if state.plan is None else log.plan(place.plan_version)
+        base_plan = None if state.plan is None else log.find_plan(place.plan_version)
         return Response(200, encode_state(state, log.id, log.position, base_plan, same_searchers))
 
     def _asked_for_changes(self, request: Request, responder: Responder) -> None:
--- a/rhubarbhinge/peers/tests/test_pulling.py
+++ b/rhubarbhinge/peers/tests/test_pulling.py
@@ -34,7 +34,7 @@
         self.revision = at(50)
         self.plan = None
         self.needs_peers = False
-        self.wants_all = False
+        self.needs_full_state = False
         self.log = ChangeLog(random.Random(1))
         self.on_changed = None
 
@@ -145,7 +145,7 @@
         self.follower.needs_peers = True
         self.hear(revision=at(50))
         self.assertEqual(self.client.asked, [])
-        self.follower.wants_all = True
+        self.follower.needs_full_state = True
         self.hear(revision=at(50), age_ms=-1.0)
         self.assertEqual(self.client.asked, [])
         self.hear(revision=at(50))
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -178,13 +178,13 @@
         self.wait()
         for after in (False, True):
             if not after:
-                self.source.ask_for_all()
+                self.source.request_full_state()
             self.wait(41)
             self.assertEqual("after=" in self.client.paths[-1], after)
         self.assertEqual(self.store.waits, [])
 
     def test_one_that_reads_and_wants_all_lists_it(self):
-        self.source.ask_for_all()
+        self.source.request_full_state()
         self.wait()
         self.timers.advance(0.0)
         self.assertEqual((self.told, self.store.waits), ([ReadFault("settled", True)], []))
--- a/rhubarbhinge/peers/tests/test_state_codec.py
+++ b/rhubarbhinge/peers/tests/test_state_codec.py
@@ -129,7 +129,7 @@
         if isinstance(told.state, Snapshot):
             follower.offer(told.state)
         else:
-            follower._apply(told.state)
+            follower._apply_changes(told.state)
         timers.advance(5_000.0)
         encode_state(follower.snapshot(), "log", 1)
 
--- a/rhubarbhinge/published/__init__.py
+++ b/rhubarbhinge/published/__init__.py
@@ -1,4 +1,4 @@
-"""What the platform publishes, followed by lists, watches and peers."""
+"""Replication of the state that the platform publishes, by lists, watches and peers."""
 
 from rhubarbhinge.published._change_log import ChangeLog
 from rhubarbhinge.published._changes import Changes
--- a/rhubarbhinge/published/_change_log.py
+++ b/rhubarbhinge/published/_change_log.py
@@ -1,4 +1,4 @@
-"""The latest changes of what is known, for entries that follow this one."""
+"""Log of recent state changes, from which other nodes read incremental updates."""
 
 import random
 from collections import deque
@@ -10,19 +10,19 @@
 from rhubarbhinge.published._evacuation import Evacuation
 
 Change = ServingPlan | Searcher | str | Evacuation
-"""A new plan, a searcher that came or changed, the incarnation of one that is gone, or a failure
-domain that is evacuated or no longer."""
-MOST_CHANGES = 1_000
-"""Changes kept; an entry that is further behind takes everything anew."""
+"""A new serving plan, an added or changed searcher, the incarnation of a removed searcher, or the
+start or end of the evacuation of a failure domain."""
+MAX_CHANGES = 1_000
+"""Changes kept. A node that is further behind receives the full state."""
 
 
-class NewestChanges(NamedTuple):
-    """The newest change of each thing.
+class CoalescedChanges(NamedTuple):
+    """The latest change of each object.
 
-    :ivar plan: the configuration, if it changed.
-    :ivar searchers: searchers that came or changed.
-    :ivar removed: incarnations of those that are gone.
-    :ivar evacuations: failure domains that are evacuated, or no longer.
+    :ivar plan: the serving plan, if it changed.
+    :ivar searchers: added or changed searchers.
+    :ivar removed: incarnations of removed searchers.
+    :ivar evacuations: failure domains whose evacuation started or ended.
     """
 
     plan: ServingPlan | None
@@ -31,11 +31,11 @@
     evacuations: tuple[Evacuation, ...]
 
 
-def newest_of(changes: Iterable[Change]) -> NewestChanges:
-    """Give the newest change of each thing.
+def coalesce(changes: Iterable[Change]) -> CoalescedChanges:
+    """Reduce a series of changes to the latest change of each object.
 
     :param changes: the changes, in order.
-    :returns: the newest ones.
+    :returns: the latest changes.
     """
     plan: ServingPlan | None = None
     searchers: dict[str, Searcher | None] = {}
@@ -49,30 +49,30 @@
             searchers[change] = None
         else:
             evacuations[change.failure_domain] = change
-    return NewestChanges(
+    return CoalescedChanges(
         plan,
-        tuple(one for one in searchers.values() if one is not None),
-        tuple(name for name, one in searchers.items() if one is None),
+        tuple(searcher for searcher in searchers.values() if searcher is not None),
+        tuple(incarnation for incarnation, searcher in searchers.items() if searcher is None),
         tuple(evacuations.values()),
     )
 
 
 class ChangeLog:
-    """The latest changes, in the order in which they were taken over here.
+    """The most recent changes, in the order in which this node applied them.
 
-    Positions count changes, not the platform's revisions: a searcher that lapsed goes later than
-    the platform told.
+    Positions count changes and are independent of the platform's revisions: a lapsed searcher is
+    removed here later than the platform reported it.
 
-    :param rng: makes the log's id.
+    :param rng: generates the id of the log.
     """
 
     def __init__(self, rng: random.Random):
         self.id = f"{rng.getrandbits(64):016x}"
         self.position = 0
-        self._changes: deque[Change] = deque(maxlen=MOST_CHANGES)
+        self._changes: deque[Change] = deque(maxlen=MAX_CHANGES)
 
-    def add(self, change: Change) -> None:
-        """Take a change.
+    def append(self, change: Change) -> None:
+        """Append a change.
 
         :param change: the change.
         """
@@ -80,22 +80,22 @@
         self.position += 1
 
     def since(self, log_id: str, position: int) -> list[Change] | None:
-        """Give the changes after a position.
+        """Return the changes after a position.
 
-        :param log_id: the log that the position is of.
+        :param log_id: id of the log to which the position belongs.
         :param position: the position.
-        :returns: the changes; None when they are not known.
+        :returns: the changes; None if the log differs or no longer holds all of them.
         """
         missing = self.position - position
         if log_id != self.id or not 0 <= missing <= len(self._changes):
             return None
         return list(self._changes)[len(self._changes) - missing :]
 
-    def plan(self, version: int) -> ServingPlan | None:
-        """Give a configuration that was taken over lately.
+    def find_plan(self, version: int) -> ServingPlan | None:
+        """Return a recently applied serving plan.
 
         :param version: its version.
-        :returns: the configuration; None when it is not known any more.
+        :returns: the serving plan; None if the log no longer holds it.
         """
         plans = (change for change in self._changes if isinstance(change, ServingPlan))
         return next((plan for plan in plans if plan.version == version), None)
--- a/rhubarbhinge/published/_changes.py
+++ b/rhubarbhinge/published/_changes.py
@@ -1,4 +1,4 @@
-"""What changed since a revision."""
+"""Incremental update of the published state."""
 
 from collections.abc import Mapping
 
@@ -12,19 +12,19 @@
 
 
 class Changes(Struct, frozen=True):
-    """What changed since a revision, the newest of each thing.
+    """The changes since a revision, the latest one of each object.
 
-    :param revision: up to which it is told; of another era than the one asked from, the changes
-        are not all that lie between.
-    :param plan: the configuration, if it changed.
-    :param searchers: searchers that came or changed.
+    :param revision: the revision that these changes lead to. If its era differs from that of the
+        requested revision, changes between the two may be missing.
+    :param plan: the serving plan, if it changed.
+    :param searchers: added or changed searchers.
     :param removed: incarnations whose entries were removed.
-    :param age_ms: time since the platform confirmed this, when a peer tells it.
-    :param by_peer: whether a peer told it, which costs the platform no call.
-    :param lapsed_ms: which searchers are no longer published, and how long the peer that tells it
-        still keeps them; the revision covers their removal, so it is not told again.
-    :param unusable: what the platform holds that can't be used; peers tell nothing of it.
-    :param evacuations: failure domains that are evacuated, or no longer.
+    :param age_ms: time since the platform confirmed this state, if it comes from a peer.
+    :param by_peer: whether a peer sent it, which costs the platform no call.
+    :param lapsed_ms: searchers that are no longer published, with the time for which the sending
+        peer still retains them. The revision covers their removal, so it is not reported again.
+    :param unusable: entries in the platform's store that can't be used; peers do not send them.
+    :param evacuations: failure domains whose evacuation started or ended.
     """
 
     revision: Revision
--- a/rhubarbhinge/published/_evacuation.py
+++ b/rhubarbhinge/published/_evacuation.py
@@ -1,4 +1,4 @@
-"""A failure domain that is evacuated, or no longer."""
+"""Start or end of the evacuation of a failure domain."""
 
 from msgspec import Struct
 
@@ -6,10 +6,10 @@
 
 
 class Evacuation(Struct, frozen=True):
-    """A change of whether the searchers of a failure domain may get requests.
+    """Start or end of the evacuation of a failure domain, whose searchers then get no requests.
 
     :param failure_domain: the domain.
-    :param begins: whether they may not from now on; else they may again.
+    :param begins: True when the evacuation starts, False when it ends.
     """
 
     failure_domain: Name
--- a/rhubarbhinge/published/_read_fault.py
+++ b/rhubarbhinge/published/_read_fault.py
@@ -1,17 +1,17 @@
-"""Why a read brought nothing."""
+"""Reason why a read of the published state failed."""
 
 from msgspec import Struct
 
 
 class ReadFault(Struct, frozen=True):
-    """Why a read brought nothing.
+    """Reason why a read of the published state failed.
 
     :param code: the cause, for logs.
-    :param history_lost: whether changes are no longer told from the revision that was asked for,
-        so that all has to be listed again.
+    :param history_lost: whether changes since the requested revision are no longer available, so
+        that everything has to be listed again.
     :param overloaded: whether the platform asks for fewer calls.
-    :param cut: whether the connection broke on which the answer was awaited; the next read, on a
-        new one, may succeed at once.
+    :param cut: whether the connection broke while waiting for the response; the next read, on a new
+        connection, may succeed at once.
     """
 
     code: str
--- a/rhubarbhinge/published/_searcher_notes.py
+++ b/rhubarbhinge/published/_searcher_event_log.py
@@ -1,19 +1,19 @@
-"""The log of searchers that come, drain and go."""
+"""Log events for added, draining and removed searchers."""
 
 from rhubarbhinge.fleet import Searcher
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.revision import Revision
 
-MOST_NOTED_ALONE = 5
-"""More searchers that change at once share lines. When 135 shards of three searchers take the place
-of others, each entry would write 800 lines just when its processor time is shortest."""
-MOST_NAMED = 40
-"""Names in one line; of some 12 characters each they fill half of a line of a kilobyte."""
+MAX_SINGLE_EVENTS = 5
+"""More searchers that change at once share log lines. When 135 shards of three searchers replace
+others, each node would write 800 lines just when it has the least processor time to spare."""
+MAX_NAMES_PER_LINE = 40
+"""Names in one line; at some 12 characters each they fill half of a line of a kilobyte."""
 
 
-class SearcherNotes:
-    """Logs the searchers that came, drain or are gone, those of one loop turn together.
+class SearcherEventLog:
+    """Logs added, draining and removed searchers, batching those of one event loop iteration.
 
     :param timers: the timer service.
     """
@@ -21,42 +21,42 @@
     def __init__(self, timers: TimerService):
         self._timers = timers
         self._published: dict[str, Searcher] = {}
-        self._gone: dict[str, Revision] = {}
+        self._removed: dict[str, Revision] = {}
 
-    def published(self, searcher: Searcher) -> None:
-        """Note a searcher that came or is draining.
+    def add_published(self, searcher: Searcher) -> None:
+        """Log a searcher that was added or is draining.
 
         :param searcher: the searcher.
         """
-        self._write_soon()
+        self._schedule_write()
         self._published[searcher.incarnation] = searcher
 
-    def gone(self, incarnation: str, revision: Revision) -> None:
-        """Note a searcher whose entry is gone.
+    def add_removed(self, incarnation: str, revision: Revision) -> None:
+        """Log a searcher whose entry was removed.
 
         :param incarnation: the searcher.
-        :param revision: the revision that was known when it went.
+        :param revision: the revision that was current when it was removed.
         """
-        self._write_soon()
-        self._gone[incarnation] = revision
+        self._schedule_write()
+        self._removed[incarnation] = revision
 
-    def _write_soon(self) -> None:
-        if not self._published and not self._gone:
+    def _schedule_write(self) -> None:
+        if not self._published and not self._removed:
             self._timers.after(0, self._write)
 
     def _write(self) -> None:
         published, self._published = list(self._published.values()), {}
-        gone, self._gone = self._gone, {}
+        removed, self._removed = self._removed, {}
         for draining in (False, True):
             self._write_published([one for one in published if one.draining is draining], draining)
-        if len(gone) <= MOST_NOTED_ALONE:
-            for incarnation, revision in gone.items():
+        if len(removed) <= MAX_SINGLE_EVENTS:
+            for incarnation, revision in removed.items():
                 log_event("searcher-gone", searcher=incarnation, revision=str(revision))
         else:
-            _write_names("searchers-gone", list(gone), revision=str(max(gone.values())))
+            _write_names("searchers-gone", list(removed), revision=str(max(removed.values())))
 
     def _write_published(self, searchers: list[Searcher], draining: bool) -> None:
-        if len(searchers) > MOST_NOTED_ALONE:
+        if len(searchers) > MAX_SINGLE_EVENTS:
             names = [searcher.incarnation for searcher in searchers]
             _write_names("searchers-published", names, draining=draining)
             return
@@ -72,6 +72,6 @@
 
 
 def _write_names(event: str, names: list[str], **fields: object) -> None:
-    for start in range(0, len(names), MOST_NAMED):
-        named = names[start : start + MOST_NAMED]
-        log_event(event, searchers=",".join(named), count=len(named), **fields)
+    for start in range(0, len(names), MAX_NAMES_PER_LINE):
+        batch = names[start : start + MAX_NAMES_PER_LINE]
+        log_event(event, searchers=",".join(batch), count=len(batch), **fields)
--- a/rhubarbhinge/published/_searchers_digest.py
+++ b/rhubarbhinge/published/_searchers_digest.py
@@ -1,4 +1,4 @@
-"""A digest by which two entries find that they know the same searchers."""
+"""Digest by which two nodes detect that they know the same searchers."""
 
 import hashlib
 from collections.abc import Iterable
@@ -8,11 +8,11 @@
 from rhubarbhinge.fleet import Searcher
 
 DIGEST_BYTES = 8
-"""Two sets of searchers that differ have the same digest once in 10^19 comparisons."""
+"""Two different sets of searchers have the same digest once in 10^19 comparisons."""
 
 
 def searchers_digest(searchers: Iterable[Searcher]) -> str:
-    """Work out a digest of searchers, which does not depend on their order.
+    """Compute a digest of searchers that does not depend on their order.
 
     :param searchers: the searchers.
     :returns: the digest; empty for none.
--- a/rhubarbhinge/published/_snapshot.py
+++ b/rhubarbhinge/published/_snapshot.py
@@ -1,4 +1,4 @@
-"""All that is published at one time."""
+"""The full published state."""
 
 from collections.abc import Mapping
 
@@ -11,18 +11,18 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """All that is published, as of a revision or later.
+    """The full published state, as of a revision or later.
 
     :param revision: changes after it may be missing here.
-    :param plan: the configuration; None when none is published.
+    :param plan: the serving plan; None when none is published.
     :param searchers: all searchers.
-    :param age_ms: time since the platform confirmed this, when a peer tells it; -1 when it is not
-        known, as for a list that may be old.
-    :param lapsed_ms: which of the searchers are no longer published, and how long the peer that
-        tells it still keeps them.
-    :param unusable: what the platform holds that can't be used; peers tell nothing of it.
-    :param evacuated: the failure domains that are evacuated; None when it is not told, as by a peer
-        of an earlier release.
+    :param age_ms: time since the platform confirmed this state, if it comes from a peer; -1 when it
+        is not known, as for a list that may be stale.
+    :param lapsed_ms: those of the searchers that are no longer published, with the time for which
+        the sending peer still retains them.
+    :param unusable: entries in the platform's store that can't be used; peers do not send them.
+    :param evacuated: the failure domains that are evacuated; None when it is not known, as in
+        states sent by peers of an earlier release.
     """
 
     revision: Revision
--- a/rhubarbhinge/published/_source.py
+++ b/rhubarbhinge/published/_source.py
@@ -1,4 +1,4 @@
-"""Where published state is read from."""
+"""Interface of sources of the published state."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -10,23 +10,23 @@
 
 
 class Source(Protocol):
-    """Reads what the platform publishes; one read at a time."""
+    """Reads the published state; only one read may be pending at a time."""
 
     def read_all(self, on_done: Callable[[Snapshot | ReadFault], None]) -> None:
-        """Read everything; a first list may be some seconds old, and its age is not known then.
+        """Read the full state. The first list may be some seconds stale, and then has no known age.
 
-        :param on_done: told the outcome, once and later.
+        :param on_done: called once with the outcome, after this method has returned.
         """
 
-    def ask_for_all(self) -> None:
-        """Have the next wait bring everything, or the fault that all has to be listed."""
+    def request_full_state(self) -> None:
+        """Make the next wait return the full state, or the fault that it has to be listed."""
 
     def wait_for_changes(
         self, after_revision: Revision, on_done: Callable[[Changes | Snapshot | ReadFault], None]
     ) -> None:
-        """Wait until something changes, within a bound.
+        """Wait for changes, for a limited time.
 
-        :param after_revision: changes after it are told.
-        :param on_done: told the outcome, once and later; no changes when the bound is over, and
-            everything when the changes alone are not known.
+        :param after_revision: the revision after which changes are wanted.
+        :param on_done: called once with the outcome, after this method has returned: no changes
+            when the time is over, the full state when the changes alone are not known.
         """
--- a/rhubarbhinge/published/_unusable_entries.py
+++ b/rhubarbhinge/published/_unusable_entries.py
@@ -1,27 +1,28 @@
-"""What is published and can't be used, told to operators once for each cause."""
+"""Published entries that can't be used, logged once for each cause."""
 
 from collections.abc import Callable, Iterable
 
 from rhubarbhinge.published._unusable_entry import UnusableEntry
 from rhubarbhinge.telemetry import log_event
 
-MOST_KEPT = 1_000
-"""Keys that are remembered, 100 KB of them; more of them at a time are only counted."""
-AGAIN_MS = 60_000.0
-"""A cause that stays is logged so often; an operator who looks at a few minutes of log finds it."""
-MOST_LINES = 20
-"""Lines within ``AGAIN_MS``; causes that name what was read may differ from read to read."""
-MOST_CAUSE_CHARS = 200
+MAX_KEYS = 1_000
+"""Keys that are remembered, which take 100 KB; further ones are only counted."""
+REPEAT_LOG_MS = 60_000.0
+"""Interval at which a persisting cause is logged again, so that an operator who reads a few minutes
+of the log finds it."""
+MAX_LOG_LINES = 20
+"""Lines within ``REPEAT_LOG_MS``; a cause that quotes what was read may differ at each read."""
+MAX_CAUSE_CHARS = 200
 """Longest cause in a line."""
-MOST_NAMED_KEYS = 5
-"""Keys that one line names; all have the same cause, and mostly the same writer."""
+MAX_LOGGED_KEYS = 5
+"""Keys named in one line; all have the same cause, and mostly the same writer."""
 
 
 class UnusableEntries:
-    """Keys that hold what can't be used, with a line of the log for each cause.
+    """Keys whose values can't be used, with a log line for each cause.
 
-    :param now_ms: gives the time.
-    :ivar found: how many such values were read since the start.
+    :param now_ms: returns the current time.
+    :ivar found: number of unusable values read since the start.
     """
 
     def __init__(self, now_ms: Callable[[], float]):
@@ -35,23 +36,23 @@
         return len(self._cause_by_key)
 
     def replace(self, entries: Iterable[UnusableEntry]) -> None:
-        """Take all that can't be used, as a list of everything tells it.
+        """Replace all entries by those of a list of the full state.
 
         :param entries: the entries.
         """
-        before = self._cause_by_key
+        previous = self._cause_by_key
         self._cause_by_key, self._key_by_incarnation = {}, {}
-        self._take(entries, before)
+        self._record(entries, previous)
 
     def add(self, entries: Iterable[UnusableEntry]) -> None:
-        """Take what was written and can't be used.
+        """Add newly written entries that can't be used.
 
         :param entries: the entries.
         """
-        self._take(entries, dict(self._cause_by_key))
+        self._record(entries, dict(self._cause_by_key))
 
-    def forget(self, incarnations: Iterable[str]) -> None:
-        """Note searchers whose entries can be used now, or are gone.
+    def discard_searchers(self, incarnations: Iterable[str]) -> None:
+        """Discard the entries of searchers that can be used now, or were removed.
 
         :param incarnations: the searchers.
         """
@@ -60,29 +61,29 @@
             if key is not None:
                 self._cause_by_key.pop(key, None)
 
-    def _take(self, entries: Iterable[UnusableEntry], before: dict[str, str]) -> None:
-        fresh_keys: dict[str, list[str]] = {}
+    def _record(self, entries: Iterable[UnusableEntry], previous: dict[str, str]) -> None:
+        new_keys: dict[str, list[str]] = {}
         for entry in entries:
             self.found += 1
-            if len(self._cause_by_key) < MOST_KEPT:
+            if len(self._cause_by_key) < MAX_KEYS:
                 self._cause_by_key[entry.key] = entry.cause
                 self._key_by_incarnation[entry.incarnation] = entry.key
-            if before.get(entry.key) != entry.cause:
-                fresh_keys.setdefault(entry.cause, []).append(entry.key)
-        for cause, keys in fresh_keys.items():
+            if previous.get(entry.key) != entry.cause:
+                new_keys.setdefault(entry.cause, []).append(entry.key)
+        for cause, keys in new_keys.items():
             self._log(cause, keys)
 
     def _log(self, cause: str, keys: list[str]) -> None:
         now_ms = self._now_ms()
-        recent = {one: at for one, at in self._logged_ms.items() if now_ms - at < AGAIN_MS}
+        recent = {one: at for one, at in self._logged_ms.items() if now_ms - at < REPEAT_LOG_MS}
         self._logged_ms = recent
-        if cause in recent or len(recent) >= MOST_LINES:
+        if cause in recent or len(recent) >= MAX_LOG_LINES:
             return
         recent[cause] = now_ms
         log_event(
             "entry-unusable",
             level="error",
-            cause=cause[:MOST_CAUSE_CHARS],
-            keys=",".join(keys[:MOST_NAMED_KEYS]),
+            cause=cause[:MAX_CAUSE_CHARS],
+            keys=",".join(keys[:MAX_LOGGED_KEYS]),
             count=len(keys),
         )
--- a/rhubarbhinge/published/tests/fake_source.py
+++ b/rhubarbhinge/published/tests/fake_source.py
@@ -12,7 +12,7 @@
         self.asked.append("all")
         self.answer = on_done
 
-    def ask_for_all(self) -> None:
+    def request_full_state(self) -> None:
         self.asked.append("for all")
 
     def wait_for_changes(self, after_revision, on_done) -> None:
--- a/rhubarbhinge/published/tests/test_evacuations.py
+++ b/rhubarbhinge/published/tests/test_evacuations.py
@@ -67,7 +67,7 @@
         self.listed()
         self.source.answer(Changes(at(12), evacuations=(BEGUN,)))
         self.follower.offer(Snapshot(at(11), PLAN, SEARCHERS, 5.0, evacuated=()))
-        self.follower._apply(Changes(at(11), by_peer=True, evacuations=(ENDED,)))
+        self.follower._apply_changes(Changes(at(11), by_peer=True, evacuations=(ENDED,)))
         self.assertEqual(self.used(), ["hall-a"])
 
     def test_a_newer_state_of_a_peer_is_taken(self):
--- a/rhubarbhinge/published/tests/test_restore_schedules.py
+++ b/rhubarbhinge/published/tests/test_restore_schedules.py
@@ -172,7 +172,7 @@
         self.gone: set[Searcher] = set()
         """Those that had left, and were published no more, when this entry let them go."""
         self.first = True
-        self.wants_all = False
+        self.needs_full_state = False
         rng = random.Random(number)
         self.follower = Follower(timers, self, self.fleet, rng, lambda plan: None)
         self.follower.start()
@@ -180,8 +180,8 @@
     def read_all(self, on_done) -> None:
         self._called(None, on_done)
 
-    def ask_for_all(self) -> None:
-        self.wants_all = True
+    def request_full_state(self) -> None:
+        self.needs_full_state = True
 
     def wait_for_changes(self, after_revision, on_done) -> None:
         self._called(after_revision, on_done)
@@ -195,7 +195,7 @@
         return Published(self.follower.revision, self.follower.age_ms(), version)
 
     def outcome(self, platform: Platform) -> Changes | Snapshot | ReadFault:
-        if self.asked is not None and self.wants_all:
+        if self.asked is not None and self.needs_full_state:
             return ReadFault("settled", history_lost=True)
         if self.asked is None:
             return platform.listed(-1.0 if self.first else 0.0)
@@ -205,7 +205,7 @@
         """Answer what is asked."""
         answer, self.answer = self.answer, None
         if isinstance(outcome, Snapshot):
-            self.wants_all = False
+            self.needs_full_state = False
         self.first = False
         if answer is not None:
             answer(outcome)
@@ -221,7 +221,7 @@
             return
         log_id, position, era = self.place
         same_era = era == self.asked.era == self.follower.revision.era
-        if not same_era or self.wants_all:
+        if not same_era or self.needs_full_state:
             log_id, position = "", -1
         state = reader.follower.changes_since(log_id, position)
         if state.revision < self.follower.revision or not reader.follower.is_current():
@@ -237,8 +237,8 @@
         self.follower.on_peer_revision(told.revision, told.age_ms)
         known = self.published()
         level = told.revision == known.revision and told.age_ms >= 0
-        wants_all = self.follower.needs_peers and self.follower.wants_all
-        if report.is_ahead_of(known) or (level and wants_all):
+        needs_full_state = self.follower.needs_peers and self.follower.needs_full_state
+        if report.is_ahead_of(known) or (level and needs_full_state):
             self.follower.offer(peer.follower.snapshot())
 
     def check(self, platform: Platform) -> None:
--- a/rhubarbhinge/published/tests/test_restores.py
+++ b/rhubarbhinge/published/tests/test_restores.py
@@ -296,7 +296,9 @@
         self.answer(Snapshot(at(41, 2), plan(24), FIRST[:1], evacuated=("hall-a",)))
         self.assertEqual((self.known(), self.follower.evacuated), (["i-1"], ("hall-a",)))
         self.timers.advance(300.0)
-        self.assertEqual((self.source.asked[-1], self.follower.wants_all), ("after 41", False))
+        self.assertEqual(
+            (self.source.asked[-1], self.follower.needs_full_state), ("after 41", False)
+        )
 
     def test_a_peer_that_is_just_as_far_tells_it_to_one_that_is_cut_off(self):
         state = Snapshot(at(40, 2), plan(24), FIRST, 5.0, evacuated=("hall-a",))
@@ -309,4 +311,4 @@
         self.assertEqual(self.follower.evacuated, ("hall-a",))
         self.timers.advance(200.0)
         self.follower.offer(ended)
-        self.assertEqual((self.follower.evacuated, self.follower.wants_all), ((), False))
+        self.assertEqual((self.follower.evacuated, self.follower.needs_full_state), ((), False))
--- a/rhubarbhinge/published/tests/test_starts.py
+++ b/rhubarbhinge/published/tests/test_starts.py
@@ -85,7 +85,7 @@
         self.asked: tuple[str, Revision] = ("", NO_REVISION)
         self.answer = None
         self.place = ("", -1)
-        self.wants_all = False
+        self.needs_full_state = False
         self.left: list[ObservedSearcher] = []
         self.drained: set = set()
         self.newest: dict[str, int] = {}
@@ -96,8 +96,8 @@
     def read_all(self, on_done) -> None:
         self.asked, self.answer = ("all", NO_REVISION), on_done
 
-    def ask_for_all(self) -> None:
-        self.place, self.wants_all = ("", -1), True
+    def request_full_state(self) -> None:
+        self.place, self.needs_full_state = ("", -1), True
 
     def wait_for_changes(self, after_revision, on_done) -> None:
         self.asked, self.answer = ("changes", after_revision), on_done
@@ -107,7 +107,7 @@
         self.place = ("", -1)
         if kind == "all":
             self._tell(store.listed())
-        elif self.wants_all:
+        elif self.needs_full_state:
             self._tell(ReadFault("settled", history_lost=True))
         else:
             self._tell(store.watched(after.number))
@@ -125,7 +125,7 @@
 
     def _tell(self, outcome) -> None:
         answer, self.answer = self.answer, None
-        self.wants_all = self.wants_all and not isinstance(outcome, Snapshot)
+        self.needs_full_state = self.needs_full_state and not isinstance(outcome, Snapshot)
         if answer is not None:
             answer(outcome)
 
