--- a/rhubarbhinge/peers/_known_state.py
+++ b/rhubarbhinge/peers/_known_state.py
@@ -1,4 +1,4 @@
-"""What an entry has, so that others tell it no more than what it lacks."""
+"""The state that a node already has, so that peers need to send only what it lacks."""
 
 from msgspec import Struct
 
@@ -8,15 +8,15 @@
 from rhubarbhinge.utils.revision import NO_REVISION, Revision
 
 PLAN_PARAMETER = "plan"
-"""Parameter that tells the version of the configuration."""
+"""Query parameter with the version of the serving plan."""
 SEARCHERS_PARAMETER = "searchers"
-"""Parameter that tells the digest of the searchers."""
+"""Query parameter with the digest of the searchers."""
 
 
 class KnownState(Struct, frozen=True):
-    """What an entry has of the published state.
+    """The part of the published state that a node has.
 
-    :param plan: its configuration; None when it has none.
+    :param plan: its serving plan; None when it has none.
     :param searchers: its searchers.
     :param searchers_digest: their digest; empty when it has none.
     :param revision: its revision.
@@ -29,16 +29,16 @@
 
     @classmethod
     def of(cls, follower: Follower) -> "KnownState":
-        """Tell what an entry has.
+        """Return the state that a follower has.
 
-        :param follower: knows the published state.
-        :returns: what it has.
+        :param follower: follows the published state.
+        :returns: its state.
         """
         state = follower.snapshot()
         return cls(state.plan, state.searchers, follower.searchers_digest(), state.revision)
 
-    def parameters(self) -> list[str]:
-        """Tell it as parameters of a query.
+    def query_parameters(self) -> list[str]:
+        """Return query parameters that describe this state to a peer.
 
         :returns: the parameters.
         """
--- a/rhubarbhinge/peers/_paths.py
+++ b/rhubarbhinge/peers/_paths.py
@@ -1,20 +1,20 @@
-"""Paths at which entries call each other."""
+"""HTTP paths for calls between nodes."""
 
 from collections.abc import Iterable
 
 STATE_PATH = "/v1/published-state"
-"""Path at which an entry hands on what it knows."""
+"""Path that returns the published state as a node knows it."""
 CHANGES_PATH = "/v1/published-changes"
-"""Path at which an entry that reads the platform tells others what changes."""
+"""Path of long polls, at a node that reads the platform, for changes of the published state."""
 CHANGES_WAIT_MS = 1_500.0
-"""How long an entry that asks for changes waits; short, so that a reader that died is noticed well
-within the seconds that a change may take to be in force."""
+"""Duration of a long poll for changes; short, so that a failed reader is noticed well within the
+seconds in which a change has to take effect."""
 MEMBERS_PATH = "/v1/members"
-"""Path at which an entry gives its list of entries."""
+"""Path that returns a node's list of members."""
 
 
 def with_query(path: str, parameters: Iterable[str]) -> str:
-    """Put parameters behind a path.
+    """Append query parameters to a path.
 
     :param path: the path.
     :param parameters: names with values, percent-encoded.
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -1,4 +1,4 @@
-"""Keeping in touch with the other entries."""
+"""Communication with the other nodes."""
 
 import random
 from collections.abc import Callable
@@ -19,9 +19,9 @@
 )
 from rhubarbhinge.net import Datagrams
 from rhubarbhinge.peers._paths import MEMBERS_PATH
-from rhubarbhinge.peers._published import published
+from rhubarbhinge.peers._published_status import published_status
 from rhubarbhinge.peers._quarantine_news import QuarantineNews
-from rhubarbhinge.peers._reports import Report, Reports
+from rhubarbhinge.peers._reports import PeerReport, PeerReports
 from rhubarbhinge.peers._state_pull import StatePull
 from rhubarbhinge.peers._state_service import StateService
 from rhubarbhinge.published import Follower
@@ -30,35 +30,35 @@
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.web import Failure, HttpClient, HttpServer, Reply
 
-LIST_TIMEOUT_MS = 1_000.0
-"""Longest that a peer may take to give its list of entries; usually some milliseconds."""
-NOTE_MS = 1_000.0
-"""How often the log notes which entries came and went."""
-MOST_NOTED_ALONE = 5
-"""More entries that come or go within a second share a line of the log: a fleet of 60 that starts
-would write 60 lines at each of them, half of the last 33 KB that a collector may keep."""
+MEMBERS_TIMEOUT_MS = 1_000.0
+"""Timeout for a peer's list of members, which usually takes some milliseconds."""
+LOG_INTERVAL_MS = 1_000.0
+"""Interval at which peers that appeared or were lost are logged."""
+MAX_SINGLE_EVENTS = 5
+"""More nodes that appear or are lost within a second share a log line. A fleet of 60 that starts
+would write 60 lines at each node, half of the last 33 KB that a log collector may keep."""
 START_ID_BITS = 32
-"""Bits of the random number that tells one start of an entry from the others."""
+"""Bits of the random number that distinguishes the starts of a node."""
 
 
 class Peers(Component):
-    """Keeps in touch with the other entries, over one UDP and one TCP port.
+    """Communicates with the other nodes, over one UDP and one TCP port.
 
     :param timers: the timer service.
     :param client: calls peers.
-    :param follower: knows the published state.
+    :param follower: follows the published state.
     :param name: name of this VM.
     :param ip: its IP address.
-    :param port: UDP and TCP port of all entries.
+    :param port: UDP and TCP port of all nodes.
     :param failure_domain: its failure domain.
     :param seed_ips: addresses of some other VMs.
-    :param rng: spreads heartbeats and choices.
-    :param reads_platform: tells whether this entry reads the platform itself, with success.
-    :param quarantine: what is known of requests that end searchers, told by heartbeats.
+    :param rng: adds jitter to heartbeats, and chooses peers.
+    :param reads_platform: returns whether this node successfully reads the platform itself.
+    :param quarantine: suspicions about requests that crash searchers, sent with heartbeats.
     :raises OSError: when the port can not be bound.
-    :ivar membership: which entries there are.
-    :ivar reports: what they told last of the published state.
-    :ivar quarantine_news: tells them of requests that end searchers.
+    :ivar membership: the members of the fleet.
+    :ivar reports: the members' latest reports on the published state.
+    :ivar quarantine_news: spreads suspicions about requests that crash searchers.
     """
 
     channel = "peers"
@@ -82,33 +82,35 @@
         self._client = client
         self._follower = follower
         self._port = port
-        self._live: set[str] = set()
-        self.reports = Reports()
+        self._live_names: set[str] = set()
+        self.reports = PeerReports()
         me = Member(name, ip, failure_domain, rng.getrandbits(START_ID_BITS))
         self.membership = Membership(
-            timers, me, seed_ips, rng, self._send, lambda: published(follower)
+            timers, me, seed_ips, rng, self._send, lambda: published_status(follower)
         )
         self.quarantine_news = QuarantineNews(timers, self.membership, quarantine, rng)
-        self._sync = TableSync(timers.now_ms, self._fetch_members)
-        self._pull = StatePull(timers, client, follower, self.reports, port, failure_domain, rng)
+        self._table_sync = TableSync(timers.now_ms, self._fetch_members)
+        self._state_pull = StatePull(
+            timers, client, follower, self.reports, port, failure_domain, rng
+        )
         self._service = StateService(timers, follower, self.membership, reads_platform)
-        self._datagrams = Datagrams(self._datagram, (ip, port)).register(self)
+        self._datagrams = Datagrams(self._on_datagram, (ip, port)).register(self)
         self._server = HttpServer(timers, self._service.answer, (ip, port)).register(self)
         timers.on_pause(lambda late_ms: self.membership.on_pause())
-        timers.every(NOTE_MS, self._note)
+        timers.every(LOG_INTERVAL_MS, self._check_peers)
         self.membership.start()
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of published state and lists of entries given to others since the start."""
+        """Bytes of published state and member lists sent to other nodes since the start."""
         return self._server.sent_bytes
 
     def tell_plan(self) -> None:
-        """Tell the others at the end of this turn that there is something new."""
+        """Announce a new serving plan to peers at the end of this event loop iteration."""
         self._timers.after(0, self.membership.tell)
 
     def leave(self) -> None:
-        """Tell the others that this entry is stopping."""
+        """Announce that this node is stopping."""
         self._service.leaving = True
         self.membership.leave()
 
@@ -118,7 +120,7 @@
             heartbeat = replace(heartbeat, suspicions=suspicions)
         self._datagrams.send(ip, self._port, encode_heartbeat(heartbeat))
 
-    def _datagram(self, ip: str, port: int, data: bytes) -> None:
+    def _on_datagram(self, ip: str, port: int, data: bytes) -> None:
         try:
             heartbeat = decode_heartbeat(data)
         except HeartbeatError as error:
@@ -130,13 +132,13 @@
             return
         if heartbeat.suspicions:
             self.quarantine_news.take(heartbeat.suspicions)
-        equal = heartbeat.members_digest == membership.digest
-        self._sync.on_digest(ip, heartbeat.failure_domain, equal)
+        is_equal = heartbeat.members_digest == membership.digest
+        self._table_sync.on_digest(ip, heartbeat.failure_domain, is_equal)
         revision, age_ms = heartbeat.revision, heartbeat.age_ms
         sender, now_ms = heartbeat.sender(ip), self._timers.now_ms()
-        self.reports.add(Report(sender, revision, age_ms, now_ms, heartbeat.plan_version))
+        self.reports.add(PeerReport(sender, revision, age_ms, now_ms, heartbeat.plan_version))
         self._follower.on_peer_revision(revision, age_ms)
-        self._pull.look()
+        self._state_pull.check()
 
     def _fetch_members(self, ip: str) -> None:
         self._client.call(
@@ -144,11 +146,11 @@
             self._port,
             "GET",
             MEMBERS_PATH,
-            timeout_ms=LIST_TIMEOUT_MS,
-            on_done=lambda outcome: self._fetched_members(ip, outcome),
+            timeout_ms=MEMBERS_TIMEOUT_MS,
+            on_done=lambda outcome: self._on_members_result(ip, outcome),
         )
 
-    def _fetched_members(self, ip: str, outcome: Reply | Failure) -> None:
+    def _on_members_result(self, ip: str, outcome: Reply | Failure) -> None:
         fault = ""
         if isinstance(outcome, Failure):
             fault = outcome.code
@@ -161,17 +163,17 @@
                 fault = error.code
         if fault:
             log_event("members-not-fetched", level="warning", ip=ip, code=fault)
-        self._sync.fetched(not fault)
+        self._table_sync.fetched(not fault)
 
-    def _note(self) -> None:
-        self._pull.look()
+    def _check_peers(self) -> None:
+        self._state_pull.check()
         live = {member.name for member in self.membership.all_live()}
-        self._note_each("peer-regained", "info", sorted(live - self._live), len(live))
-        self._note_each("peer-lost", "warning", sorted(self._live - live), len(live))
-        self._live = live
+        self._log_names("peer-regained", "info", sorted(live - self._live_names), len(live))
+        self._log_names("peer-lost", "warning", sorted(self._live_names - live), len(live))
+        self._live_names = live
 
-    def _note_each(self, event: str, level: str, names: list[str], peers: int) -> None:
-        if len(names) <= MOST_NOTED_ALONE:
+    def _log_names(self, event: str, level: str, names: list[str], peers: int) -> None:
+        if len(names) <= MAX_SINGLE_EVENTS:
             for name in names:
                 log_event(event, level=level, peer=name, peers=peers)
         else:
--- /dev/null
+++ b/rhubarbhinge/peers/_published_status.py
@@ -0,0 +1,14 @@
+"""Summary of the published state for heartbeats."""
+
+from rhubarbhinge.members import Published
+from rhubarbhinge.published import Follower
+
+
+def published_status(follower: Follower) -> Published:
+    """Summarize the published state of this node.
+
+    :param follower: follows the published state.
+    :returns: the summary that heartbeats carry.
+    """
+    version = 0 if follower.plan is None else follower.plan.version
+    return Published(follower.revision, follower.age_ms(), version)
--- a/rhubarbhinge/peers/_quarantine_news.py
+++ b/rhubarbhinge/peers/_quarantine_news.py
@@ -1,4 +1,4 @@
-"""News of requests that end searchers, told to the other entries."""
+"""Exchange of suspicions about requests that crash searchers with the other nodes."""
 
 import random
 from collections.abc import Iterable
@@ -8,26 +8,28 @@
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils import rendezvous
 
-NEAR_RECEIVERS = 8
-"""Entries of the own failure domain that get news at once, from each that hears it for the first
-time: at 40 entries a domain e**-8 of them hear nothing of the first round, one in 3,000."""
-FAR_RECEIVERS = 2
-"""Entries of each other domain that get it at once, from each that hears it for the first time."""
-PAUSE_MS = 100.0
-"""At most one burst in so long: 20 datagrams of 300 bytes, 6 KB in the rare second that has one."""
+LOCAL_FANOUT = 8
+"""Nodes of the same failure domain that get a new suspicion at once from each node that learns it.
+With 40 nodes in a domain, a share of e**-8 of them, one in 3,000, misses the first round."""
+REMOTE_FANOUT = 2
+"""Nodes of each other domain that get a new suspicion at once from each node that learns it."""
+MIN_INTERVAL_MS = 100.0
+"""Shortest interval between two rounds. A round takes 20 datagrams of 300 bytes, 6 KB in the rare
+second that has one."""
 
 
 class QuarantineNews:
-    """Tells the other entries what becomes known of requests that end searchers.
+    """Spreads suspicions about requests that crash searchers among the nodes.
 
-    The caller of such a request comes back within some milliseconds, at any entry. So news goes out
-    at once and is passed on by all that hear it, which takes two hops of 1 to 2 ms. Entries that
-    start, or were held up or cut off, hear it by heartbeats, which carry it as long as it holds.
+    The caller of such a request retries within some milliseconds, at any node. New suspicions are
+    therefore sent at once and forwarded by each node that learns them, which takes two hops of 1 to
+    2 ms. Nodes that start, or were suspended or cut off, learn them from heartbeats, which carry
+    them as long as they hold.
 
     :param timers: the timer service.
-    :param membership: the other entries; sends heartbeats.
-    :param quarantine: what is known.
-    :param rng: draws the receivers.
+    :param membership: the members of the fleet; sends heartbeats.
+    :param quarantine: the suspicions of this node.
+    :param rng: chooses the receivers.
     """
 
     def __init__(
@@ -41,22 +43,22 @@
         self._membership = membership
         self._quarantine = quarantine
         self._rng = rng
-        self._told_ms = float("-inf")
-        self._due = False
+        self._last_round_ms = float("-inf")
+        self._is_scheduled = False
 
     def tell(self) -> None:
-        """Tell it now, or after a pause when something was told just before."""
-        if self._due:
+        """Send suspicions to peers now, or after ``MIN_INTERVAL_MS`` since the last round."""
+        if self._is_scheduled:
             return
-        wait_ms = self._told_ms + PAUSE_MS - self._timers.now_ms()
+        wait_ms = self._last_round_ms + MIN_INTERVAL_MS - self._timers.now_ms()
         if wait_ms <= 0.0:
-            self._spread()
+            self._send_round()
         else:
-            self._due = True
-            self._timers.after(wait_ms, self._spread)
+            self._is_scheduled = True
+            self._timers.after(wait_ms, self._send_round)
 
     def carried(self) -> tuple[ToldSuspicion, ...]:
-        """Give what a heartbeat carries; part of it is drawn anew for each receiver.
+        """Return the suspicions for one heartbeat, part of them chosen at random for each receiver.
 
         :returns: the suspicions.
         """
@@ -64,7 +66,7 @@
         return tuple(ToldSuspicion.of(known, now_ms) for known in self._quarantine.told())
 
     def take(self, told: Iterable[ToldSuspicion]) -> None:
-        """Take what a heartbeat carried, and pass on what was new of it.
+        """Process the suspicions of a heartbeat, and forward them if any was new.
 
         :param told: the suspicions.
         """
@@ -73,10 +75,10 @@
             self.tell()
 
     def may_try(self, fingerprint: str) -> bool:
-        """Tell whether this entry is the one that tries a request again.
+        """Check whether this node is the one that tries a suspected request again.
 
-        All that know the same entries agree on it without asking (rendezvous hashing); each side of
-        a cut has one.
+        All nodes that know the same members agree on it without communication (rendezvous hashing);
+        each side of a network partition has one.
 
         :param fingerprint: the request.
         :returns: whether it is.
@@ -85,13 +87,13 @@
         names = [me, *(member.name for member in self._membership.all_live())]
         return me == max(names, key=lambda name: rendezvous.score(fingerprint, name))
 
-    def _spread(self) -> None:
-        self._due = False
-        self._told_ms = self._timers.now_ms()
+    def _send_round(self) -> None:
+        self._is_scheduled = False
+        self._last_round_ms = self._timers.now_ms()
         membership = self._membership
         own = membership.me.failure_domain
         for domain in membership.table.domains():
-            most = NEAR_RECEIVERS if domain == own else FAR_RECEIVERS
+            fanout = LOCAL_FANOUT if domain == own else REMOTE_FANOUT
             live = membership.live(domain)
-            for member in self._rng.sample(live, min(most, len(live))):
+            for member in self._rng.sample(live, min(fanout, len(live))):
                 membership.send_to(member.ip)
--- a/rhubarbhinge/peers/_reports.py
+++ b/rhubarbhinge/peers/_reports.py
@@ -1,89 +1,89 @@
-"""What other entries told last of the published state."""
+"""Latest reports of other nodes on the published state."""
 
 from msgspec import Struct
 
 from rhubarbhinge.members import Member, Published
 from rhubarbhinge.utils.revision import Revision
 
-FRESH_MS = 3_500.0
-"""A report is of use for so long; three heartbeats of an entry that sends each second."""
+MAX_REPORT_AGE_MS = 3_500.0
+"""Age up to which a report is used; three heartbeats of a node that sends one each second."""
 
 
-class Report(Struct, frozen=True):
-    """What an entry told last of the published state.
+class PeerReport(Struct, frozen=True):
+    """A node's report on the published state that it knows.
 
-    :param member: the entry.
-    :param revision: the revision that it knows.
-    :param age_ms: how long before that was confirmed; -1 if it never was.
-    :param at_ms: when it told this.
-    :param plan_version: version of its configuration; 0 when it has none, or did not tell.
+    :param member: the node.
+    :param revision: its revision.
+    :param age_ms: time since that was confirmed; -1 if it never was.
+    :param received_ms: when the report was received.
+    :param plan_version: version of its serving plan; 0 if it has none, or did not report it.
     """
 
     member: Member
     revision: Revision
     age_ms: float
-    at_ms: float
+    received_ms: float
     plan_version: int = 0
 
     def is_ahead_of(self, known: Published) -> bool:
-        """Tell whether its state holds what is not known here.
+        """Check whether the node's state holds something that this node lacks.
 
-        The configuration counts by itself: the platform may have lost a version that some have. A
-        state that nobody has confirmed adds nothing to one that was.
+        The serving plan counts by itself, as the platform may have lost a version that some nodes
+        have. An unconfirmed state adds nothing to a confirmed one.
 
-        :param known: what is known here.
+        :param known: the state of this node.
         :returns: whether it does.
         """
-        further = self.revision > known.revision or self.plan_version > known.plan_version
-        return further and (self.age_ms >= 0 or known.age_ms < 0)
+        is_newer = self.revision > known.revision or self.plan_version > known.plan_version
+        return is_newer and (self.age_ms >= 0 or known.age_ms < 0)
 
 
-class Reports:
-    """What other entries told last of the published state."""
+class PeerReports:
+    """The latest report of each other node on the published state."""
 
     def __init__(self) -> None:
-        self._by_name: dict[str, Report] = {}
+        self._by_name: dict[str, PeerReport] = {}
 
-    def add(self, report: Report) -> None:
-        """Take a report.
+    def add(self, report: PeerReport) -> None:
+        """Add a report.
 
         :param report: the report.
         """
         self._by_name[report.member.name] = report
 
-    def get(self, name: str, now_ms: float) -> Report | None:
-        """Give an entry's report.
+    def get(self, name: str, now_ms: float) -> PeerReport | None:
+        """Return the report of a node.
 
-        :param name: the entry's name.
-        :param now_ms: the time.
-        :returns: the report, or None if there is no fresh one.
+        :param name: the node's name.
+        :param now_ms: the current time.
+        :returns: the report, or None if there is no recent one.
         """
         report = self._by_name.get(name)
-        return None if report is None or now_ms - report.at_ms > FRESH_MS else report
+        return None if report is None or now_ms - report.received_ms > MAX_REPORT_AGE_MS else report
 
-    def level(self, known: Published, now_ms: float) -> list[Report]:
-        """Give the reports of entries that are just as far, and confirmed.
+    def equal_to(self, known: Published, now_ms: float) -> list[PeerReport]:
+        """Return the reports of nodes with a confirmed state of the same revision.
 
-        :param known: what is known here.
-        :param now_ms: the time.
-        :returns: fresh reports of the same revision.
+        :param known: the state of this node.
+        :param now_ms: the current time.
+        :returns: recent reports of the same revision.
         """
         return [
             report
             for report in self._by_name.values()
             if report.revision == known.revision
             and report.age_ms >= 0
-            and now_ms - report.at_ms <= FRESH_MS
+            and now_ms - report.received_ms <= MAX_REPORT_AGE_MS
         ]
 
-    def ahead(self, known: Published, now_ms: float) -> list[Report]:
-        """Give the reports of entries that are further, and forget old ones.
+    def ahead_of(self, known: Published, now_ms: float) -> list[PeerReport]:
+        """Return the reports of nodes whose state is ahead, and discard outdated reports.
 
-        :param known: what is known here.
-        :param now_ms: the time.
-        :returns: fresh reports of states that are ahead.
+        :param known: the state of this node.
+        :param now_ms: the current time.
+        :returns: recent reports of states that are ahead.
         """
         for name, report in list(self._by_name.items()):
-            if now_ms - report.at_ms > FRESH_MS:
+            if now_ms - report.received_ms > MAX_REPORT_AGE_MS:
                 del self._by_name[name]
         return [report for report in self._by_name.values() if report.is_ahead_of(known)]
--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -1,4 +1,4 @@
-"""Published state by one reader in each failure domain."""
+"""Source of published state that shares one reader of the platform per failure domain."""
 
 from collections.abc import Callable
 from math import inf
@@ -8,7 +8,7 @@
 from rhubarbhinge.members import Member, Membership
 from rhubarbhinge.peers._known_state import NOTHING_KNOWN, KnownState
 from rhubarbhinge.peers._paths import CHANGES_PATH, CHANGES_WAIT_MS, with_query
-from rhubarbhinge.peers._reports import Reports
+from rhubarbhinge.peers._reports import PeerReports
 from rhubarbhinge.peers._state_codec import StateError, decode_state
 from rhubarbhinge.published import Changes, ReadFault, Snapshot, Source
 from rhubarbhinge.telemetry import log_event
@@ -16,50 +16,52 @@
 from rhubarbhinge.utils.revision import Revision
 from rhubarbhinge.web import Failure, HttpClient, Reply
 
-MARGIN_MS = 400.0
-"""What an answer may take beyond the wait."""
-BAD_MS = 3_000.0
-"""A reader that failed is not asked for so long; by then its heartbeats tell whether it lives."""
-MOST_AGE_MS = 6_000.0
-"""An entry whose own state was not confirmed for so long is no reader."""
-SETTLED_MS = 3_000.0
-"""An entry that was not heard from directly counts as a reader once it is known for so long; one
-that has just started would send its followers to the platform."""
-
-KNOW_MS = 400.0
-"""Within so long after its start an entry has heard of most others of its domain, also when all
-start within 300 ms of each other; who has the least name then reads the platform."""
+RESPONSE_MARGIN_MS = 400.0
+"""Time that a response may take beyond the duration of the long poll."""
+READER_RETRY_MS = 3_000.0
+"""Time for which a failed reader is not asked; by then its heartbeats show whether it is alive."""
+MAX_READER_AGE_MS = 6_000.0
+"""A node whose own state was not confirmed for longer than this is not used as reader."""
+MIN_KNOWN_MS = 3_000.0
+"""A node without a direct report is used as reader once it has been known for this time; one that
+has just started would send its followers to the platform."""
+
+DISCOVERY_MS = 400.0
+"""Time after its start in which a node learns of most others of its domain, even when all start
+within 300 ms of each other. The node with the lowest name then reads the platform."""
 JOIN_MS = 3_000.0
-"""How long a starting entry looks for the reader before it waits for changes at the platform. Of a
-large fleet that starts as a whole some hear of the least name of their domain late. Who stays
-behind a peer takes that peer's state meanwhile."""
+"""Time for which a starting node looks for the reader before it waits for changes at the platform.
+When a large fleet starts as a whole, some nodes learn late of the lowest name of their domain. A
+node that stays behind a peer pulls that peer's state meanwhile."""
 JOIN_POLL_MS = 50.0
-"""How often it looks meanwhile."""
+"""Interval at which a starting node looks for the reader."""
 JOIN_RETRY_MS = 250.0
-"""An entry that was asked and reads not yet may be about to; it, or a lesser name that was heard of
-meanwhile, is asked so much later."""
-FAILING_MS = 1_000.0
-"""A reader whose watch was cut counts as one for so long, and those that wait at it go on: else
-each cut watch would send all entries of the domain to the platform at once."""
-
-OLD_LIST = ReadFault("old-list", history_lost=True)
-"""Told where all has to be listed again, as the first list may have been old."""
-
-SETTLED = ReadFault("settled", history_lost=True)
-"""Told where all has to be listed again, as this entry reads and wants more than changes."""
+"""Delay after a node that was asked does not read the platform yet. It may be about to; it is asked
+again, or a node with a lower name that was discovered meanwhile."""
+CUT_GRACE_MS = 1_000.0
+"""Time for which a node whose watch was cut still counts as reader, so that its followers keep
+waiting at it. Otherwise each cut watch would send all nodes of the domain to the platform at
+once."""
+
+STALE_LIST = ReadFault("old-list", history_lost=True)
+"""Reported when everything has to be listed again because the first list may have been stale."""
+
+RESYNC = ReadFault("settled", history_lost=True)
+"""Reported when everything has to be listed again because this node reads the platform and needs
+the full state."""
 ERA_CHANGED = "era-changed"
-"""Why what a reader told is not used: another entry told of a later era in the meantime."""
+"""Code for a reader's response that is not used because another node reported a later era since."""
 
-OnTold = Callable[[Changes | Snapshot | ReadFault], None]
+OnOutcome = Callable[[Changes | Snapshot | ReadFault], None]
 
 
-class _Place(Struct, frozen=True):
-    """Up to where a reader's log of changes is known.
+class _LogPosition(Struct, frozen=True):
+    """Position in the change log of a reader up to which this node has the changes.
 
-    :param log_id: the log.
-    :param position: the position in it.
-    :param era: the era of the state there. Once a later one is known from elsewhere, the log tells
-        no more what this entry lacks, as that state may differ from the reader's.
+    :param log_id: id of the log.
+    :param position: the position.
+    :param era: era of the state at that position. Once a later era is known from elsewhere, the log
+        no longer covers what this node lacks, as its state may differ from the reader's.
     """
 
     log_id: str
@@ -68,24 +70,24 @@
 
 
 class SharedSource:
-    """Reads the platform in one entry of each failure domain; the others ask that one.
+    """Reads the platform at one node of each failure domain; the other nodes ask that one.
 
-    The reader is the live entry with the least name, which all work out alike. Nothing depends on
-    their agreeing: an entry that is asked and does not read the platform says so, and who gets no
-    answer asks the platform itself.
+    The reader is the live node with the lowest name, which all nodes determine independently.
+    Correctness does not depend on their agreement: a node that is asked and does not read the
+    platform says so, and a node that gets no response asks the platform itself.
 
-    An entry that starts lists what may be some seconds old, which costs the platform a tenth, and
-    then waits for changes at the reader. So a start costs one cheap call, also when all start at
-    once.
+    A starting node reads a list that may be some seconds stale, which costs the platform a tenth of
+    a fresh one, and then waits for changes at the reader. A start thus costs one cheap call, even
+    when all nodes start at once.
 
     :param timers: the timer service.
     :param client: calls peers.
     :param store: reads the platform.
     :param name: name of this VM.
     :param failure_domain: its failure domain.
-    :param port: port of all entries.
+    :param port: port of all nodes.
     :ivar platform_calls: reads and watches of the platform since the start.
-    :ivar reader_calls: waits at another entry since the start.
+    :ivar reader_calls: long polls at another node since the start.
     """
 
     def __init__(
@@ -104,203 +106,213 @@
         self._failure_domain = failure_domain
         self._port = port
         self._membership: Membership | None = None
-        self._reports = Reports()
-        self._known: Callable[[], KnownState] = lambda: NOTHING_KNOWN
-        self._bad_until_ms: dict[str, float] = {}
-        self._place: _Place | None = None
-        self._told_by = ""
-        self._failing = False
+        self._reports = PeerReports()
+        self._known_state: Callable[[], KnownState] = lambda: NOTHING_KNOWN
+        self._avoid_until_ms: dict[str, float] = {}
+        self._log_position: _LogPosition | None = None
+        self._reader_ip = ""
+        self._is_failing = False
         self._reads_until_ms = inf
-        self._reading = True
+        self._is_reading = True
         self._started_ms: float | None = None
-        self._list_is_old = False
-        self._wants_all = False
+        self._is_list_stale = False
+        self._is_full_state_requested = False
         self.platform_calls = 0
         self.reader_calls = 0
 
     @property
     def reads_platform(self) -> bool:
-        """Whether this entry reads the platform itself, with success but for moments."""
-        return self._reading and self._timers.now_ms() < self._reads_until_ms
+        """Whether this node reads the platform itself, with success except for brief failures."""
+        return self._is_reading and self._timers.now_ms() < self._reads_until_ms
 
     def know(
         self,
         membership: Membership,
-        reports: Reports,
+        reports: PeerReports,
         known: Callable[[], KnownState] = lambda: NOTHING_KNOWN,
     ) -> None:
-        """Choose readers from now on.
+        """Set the peers among which readers are chosen from now on.
 
-        :param membership: which entries there are.
-        :param reports: what they told last of the published state.
-        :param known: gives what this entry has, which a reader need not tell.
+        :param membership: the members of the fleet.
+        :param reports: their latest reports on the published state.
+        :param known: returns the state of this node, which a reader need not send.
         """
         self._membership = membership
         self._reports = reports
-        self._known = known
+        self._known_state = known
 
     def read_all(self, on_done: Callable[[Snapshot | ReadFault], None]) -> None:
-        """Read everything from the platform; the first time what may be some seconds old.
+        """Read the full state from the platform; the first time it may be some seconds stale.
 
-        :param on_done: told the outcome.
+        :param on_done: called with the outcome.
         """
-        self._place = None
-        self._reading = True
+        self._log_position = None
+        self._is_reading = True
         self.platform_calls += 1
-        first = self._started_ms is None
-        if first:
+        is_first = self._started_ms is None
+        if is_first:
             self._started_ms = self._timers.now_ms()
 
         def done(outcome: Snapshot | ReadFault) -> None:
-            self._note_outcome(outcome)
+            self._on_platform_outcome(outcome)
             if isinstance(outcome, Snapshot):
-                self._wants_all = False
-            self._list_is_old = first and isinstance(outcome, Snapshot)
+                self._is_full_state_requested = False
+            self._is_list_stale = is_first and isinstance(outcome, Snapshot)
             on_done(outcome)
 
-        self._store.read_all(done, may_be_old=first)
+        self._store.read_all(done, may_be_old=is_first)
 
     def request_full_state(self) -> None:
-        """Have the next wait bring everything, or the fault that all has to be listed."""
-        self._wants_all = True
+        """Make the next wait return the full state, or the fault that it has to be listed."""
+        self._is_full_state_requested = True
 
-    def wait_for_changes(self, after_revision: Revision, on_done: OnTold) -> None:
+    def wait_for_changes(self, after_revision: Revision, on_done: OnOutcome) -> None:
         """Wait for changes, at the reader or the platform.
 
-        :param after_revision: changes after it are told.
-        :param on_done: told the outcome.
+        :param after_revision: the revision after which changes are wanted.
+        :param on_done: called with the outcome.
         """
-        reader = self._reader()
+        reader = self._choose_reader()
         if reader is None and self._is_joining():
             self._timers.after(JOIN_POLL_MS, lambda: self.wait_for_changes(after_revision, on_done))
             return
-        if reader is None and self._list_is_old:
-            # Who is to read for others needs the newest state, and changes are told from there.
-            self._timers.after(0, lambda: on_done(OLD_LIST))
+        if reader is None and self._is_list_stale:
+            # A node that reads for others needs the latest state, from which changes are reported.
+            self._timers.after(0, lambda: on_done(STALE_LIST))
             return
-        if reader is None and self._wants_all:
-            self._timers.after(0, lambda: on_done(SETTLED))
+        if reader is None and self._is_full_state_requested:
+            self._timers.after(0, lambda: on_done(RESYNC))
             return
         if reader is None:
             self._wait_at_platform(after_revision, on_done)
             return
-        if reader.ip != self._told_by:
-            self._place, self._told_by = None, reader.ip
+        if reader.ip != self._reader_ip:
+            self._log_position, self._reader_ip = None, reader.ip
             log_event("reader-chosen", reader=reader.name)
-        self._reading = False
+        self._is_reading = False
         self.reader_calls += 1
-        known = self._known()
-        place = self._place_parameters(after_revision)
+        known = self._known_state()
+        position = self._position_parameters(after_revision)
         self._client.call(
             reader.ip,
             self._port,
             "GET",
-            with_query(CHANGES_PATH, place + known.parameters()),
-            timeout_ms=CHANGES_WAIT_MS + MARGIN_MS,
-            on_done=lambda outcome: self._asked(reader, outcome, after_revision, known, on_done),
+            with_query(CHANGES_PATH, position + known.query_parameters()),
+            timeout_ms=CHANGES_WAIT_MS + RESPONSE_MARGIN_MS,
+            on_done=lambda outcome: self._on_reader_outcome(
+                reader, outcome, after_revision, known, on_done
+            ),
         )
 
-    def _place_parameters(self, known: Revision) -> list[str]:
-        place = self._place
-        if place is None or place.era != known.era or self._wants_all:
+    def _position_parameters(self, known: Revision) -> list[str]:
+        position = self._log_position
+        if position is None or position.era != known.era or self._is_full_state_requested:
             return []
-        return [f"log={place.log_id}&after={place.position}"]
+        return [f"log={position.log_id}&after={position.position}"]
 
-    def _wait_at_platform(self, after_revision: Revision, on_done: OnTold) -> None:
-        # What the platform tells now makes the place in a reader's log meaningless.
-        self._place, self._told_by = None, ""
-        self._reading = True
+    def _wait_at_platform(self, after_revision: Revision, on_done: OnOutcome) -> None:
+        # Changes from the platform invalidate the position in a reader's log.
+        self._log_position, self._reader_ip = None, ""
+        self._is_reading = True
         self.platform_calls += 1
 
         def done(outcome: Changes | ReadFault) -> None:
-            self._note_outcome(outcome)
+            self._on_platform_outcome(outcome)
             on_done(outcome)
 
         self._store.wait_for_changes(after_revision, done)
 
-    def _note_outcome(self, outcome: Changes | Snapshot | ReadFault) -> None:
-        self._failing = isinstance(outcome, ReadFault) and not outcome.history_lost
-        if not self._failing:
+    def _on_platform_outcome(self, outcome: Changes | Snapshot | ReadFault) -> None:
+        self._is_failing = isinstance(outcome, ReadFault) and not outcome.history_lost
+        if not self._is_failing:
             self._reads_until_ms = inf
         elif outcome.cut:
-            self._reads_until_ms = min(self._reads_until_ms, self._timers.now_ms() + FAILING_MS)
+            self._reads_until_ms = min(self._reads_until_ms, self._timers.now_ms() + CUT_GRACE_MS)
         else:
             self._reads_until_ms = -inf
 
-    def _up_ms(self) -> float:
-        """Tell how long ago this entry read for the first time; endless if that was not here."""
+    def _uptime_ms(self) -> float:
+        """Return the time since the first read; infinite if this source has read nothing yet."""
         return inf if self._started_ms is None else self._timers.now_ms() - self._started_ms
 
     def _is_joining(self) -> bool:
-        """Tell whether this entry has just started and may yet hear of a reader."""
-        up_ms = self._up_ms()
-        if self._membership is None or up_ms >= JOIN_MS:
+        """Check whether this node has just started and may still discover a reader."""
+        uptime_ms = self._uptime_ms()
+        if self._membership is None or uptime_ms >= JOIN_MS:
             return False
         live = self._membership.live(self._failure_domain)
-        is_least = all(self._name < member.name for member in live)
-        return up_ms < KNOW_MS or not is_least
+        is_lowest = all(self._name < member.name for member in live)
+        return uptime_ms < DISCOVERY_MS or not is_lowest
 
-    def _reader(self) -> Member | None:
-        """Choose the reader; None when this entry is to read."""
+    def _choose_reader(self) -> Member | None:
+        """Choose the reader; None when this node has to read the platform itself."""
         if self._membership is None:
             return None
         now_ms = self._timers.now_ms()
         for member in self._membership.live(self._failure_domain):
-            if self._bad_until_ms.get(member.ip, 0.0) <= now_ms and self._may_read(member, now_ms):
-                return member if self._failing or member.name < self._name else None
+            if self._avoid_until_ms.get(member.ip, 0.0) <= now_ms and self._may_be_reader(
+                member, now_ms
+            ):
+                return member if self._is_failing or member.name < self._name else None
         return None
 
-    def _may_read(self, member: Member, now_ms: float) -> bool:
+    def _may_be_reader(self, member: Member, now_ms: float) -> bool:
         report = self._reports.get(member.name, now_ms)
-        if self._up_ms() < JOIN_MS:
-            # Of a fleet that starts as a whole nobody is settled, and the least name reads. An
-            # entry that does not read says so at once.
-            return self._up_ms() >= KNOW_MS or (report is not None and report.age_ms >= 0)
+        if self._uptime_ms() < JOIN_MS:
+            # When a fleet starts as a whole, no node has been known for long, and the one with the
+            # lowest name reads. A node that does not read says so at once.
+            return self._uptime_ms() >= DISCOVERY_MS or (report is not None and report.age_ms >= 0)
         if report is None:
-            return self._membership.known_for_ms(member.name) >= SETTLED_MS
-        return 0 <= report.age_ms <= MOST_AGE_MS
+            return self._membership.known_for_ms(member.name) >= MIN_KNOWN_MS
+        return 0 <= report.age_ms <= MAX_READER_AGE_MS
 
-    def _asked(
+    def _on_reader_outcome(
         self,
         reader: Member,
         outcome: Reply | Failure,
         after_revision: Revision,
         known: KnownState,
-        on_done: OnTold,
+        on_done: OnOutcome,
     ) -> None:
-        fault = _fault(outcome)
-        told = None
+        fault = _fault_code(outcome)
+        received = None
         if not fault:
             try:
-                told = decode_state(outcome.body, known)
+                received = decode_state(outcome.body, known)
             except StateError as error:
                 fault = error.code
-        if told is not None and told.state.revision < after_revision and not self._list_is_old:
+        if (
+            received is not None
+            and received.state.revision < after_revision
+            and not self._is_list_stale
+        ):
             fault = "behind"
-        now = self._known().revision
-        if not fault and now.era > after_revision.era:
+        current = self._known_state().revision
+        if not fault and current.era > after_revision.era:
             log_event("reader-not-followed", reader=reader.name, code=ERA_CHANGED)
-            self._place = None
-            self.wait_for_changes(now, on_done)
+            self._log_position = None
+            self.wait_for_changes(current, on_done)
             return
         if fault:
             log_event("reader-failed", level="warning", reader=reader.name, code=fault)
-            joining = self._is_joining()
-            if isinstance(outcome, Failure) or not joining:
-                self._bad_until_ms[reader.ip] = self._timers.now_ms() + BAD_MS
-            if joining:
+            is_joining = self._is_joining()
+            if isinstance(outcome, Failure) or not is_joining:
+                self._avoid_until_ms[reader.ip] = self._timers.now_ms() + READER_RETRY_MS
+            if is_joining:
                 self._timers.after(
                     JOIN_RETRY_MS, lambda: self.wait_for_changes(after_revision, on_done)
                 )
             else:
                 self._wait_at_platform(after_revision, on_done)
             return
-        self._place = _Place(told.log_id, told.position, told.state.revision.era)
-        self._list_is_old = self._wants_all = False
-        on_done(told.state)
+        self._log_position = _LogPosition(
+            received.log_id, received.position, received.state.revision.era
+        )
+        self._is_list_stale = self._is_full_state_requested = False
+        on_done(received.state)
 
 
-def _fault(outcome: Reply | Failure) -> str:
+def _fault_code(outcome: Reply | Failure) -> str:
     if isinstance(outcome, Failure):
         return outcome.code
     return "" if outcome.status == 200 else f"status-{outcome.status}"
--- a/rhubarbhinge/peers/_state_codec.py
+++ b/rhubarbhinge/peers/_state_codec.py
@@ -1,4 +1,4 @@
-"""Published state as entries hand it on."""
+"""Encoding of the published state for transfer between nodes."""
 
 from typing import Any
 
@@ -22,16 +22,16 @@
 
 
 class StateError(ValueError):
-    """Bytes that are no published state.
+    """The data received from a peer is not a valid published state.
 
-    :ivar code: why, for logs.
+    :ivar code: error code for logs.
     """
 
     code = "bad-state"
 
 
-class _SentPlan(msgspec.Struct, frozen=True):
-    """A configuration as it is sent."""
+class _EncodedPlan(msgspec.Struct, frozen=True):
+    """Encoded form of a serving plan."""
 
     version: Count
     routes: tuple[Route, ...]
@@ -39,8 +39,8 @@
     limits: CallerLimits
 
 
-class _SentPlanChange(msgspec.Struct, frozen=True):
-    """What changed of a configuration, as it is sent; see :class:`PlanChange`."""
+class _EncodedPlanChange(msgspec.Struct, frozen=True):
+    """Encoded form of the changes between two serving plans; see :class:`PlanChange`."""
 
     base_version: Count
     version: Count
@@ -50,23 +50,23 @@
     limits: CallerLimits
 
 
-class _SentState(msgspec.Struct, frozen=True):
-    """Published state, or changes of it, as they are sent.
+class _EncodedState(msgspec.Struct, frozen=True):
+    """Encoded form of the published state, or of changes to it.
 
-    Changes are those with ``removed``. Releases may differ by the fields that have a default.
+    Only changes have ``removed``. Fields that have a default may be missing in other releases.
 
     :ivar revision: the number of its revision.
-    :ivar era: the era of its revision; an earlier release tells none.
+    :ivar era: the era of its revision; an earlier release does not send it.
     """
 
     revision: Count
     age_ms: AgeMs
     log: str
     position: Count
-    plan: _SentPlan | None
+    plan: _EncodedPlan | None
     searchers: tuple[Searcher, ...]
     removed: tuple[str, ...] | None
-    plan_change: _SentPlanChange | None = None
+    plan_change: _EncodedPlanChange | None = None
     same_searchers: bool = False
     lapsed_ms: dict[str, Milliseconds] = {}
     evacuated: tuple[Name, ...] | None = None
@@ -74,7 +74,7 @@
     era: Count = 0
 
 
-_read = json_reader(_SentState)
+_parse = json_reader(_EncodedState)
 
 
 def encode_state(
@@ -84,18 +84,18 @@
     base_plan: ServingPlan | None = None,
     same_searchers: bool = False,
 ) -> bytes:
-    """Encode published state, or changes of it.
+    """Encode the published state, or changes to it.
 
     :param state: the state.
-    :param log_id: the log of changes of who tells it.
-    :param position: up to where in the log it is told.
-    :param base_plan: a configuration that the receiver has, and of which only changes are told.
-    :param same_searchers: whether the receiver has just these searchers, which are then not told.
-    :returns: the bytes.
+    :param log_id: id of the sender's change log.
+    :param position: position in that log up to which the state includes the changes.
+    :param base_plan: a serving plan that the receiver has, relative to which the plan is encoded.
+    :param same_searchers: whether the receiver has exactly these searchers, which are then omitted.
+    :returns: the encoded state.
     """
     plan = state.plan
-    by_change = plan is not None and base_plan is not None
-    change = PlanChange.between(base_plan, plan) if by_change else None
+    is_relative = plan is not None and base_plan is not None
+    change = PlanChange.between(base_plan, plan) if is_relative else None
     return msgspec.json.encode(
         {
             "revision": state.revision.number,
@@ -103,7 +103,7 @@
             "age_ms": state.age_ms,
             "log": log_id,
             "position": position,
-            "plan": None if plan is None or by_change else _sent_plan(plan),
+            "plan": None if plan is None or is_relative else _encode_plan(plan),
             "plan_change": change,
             "searchers": () if same_searchers else state.searchers,
             "same_searchers": same_searchers,
@@ -115,12 +115,12 @@
     )
 
 
-class ToldState(Struct, frozen=True):
-    """What a peer told.
+class DecodedState(Struct, frozen=True):
+    """The published state as received from a peer.
 
-    :param state: its state, or what changed since a position of its log.
-    :param log_id: its log.
-    :param position: up to where in the log this tells.
+    :param state: the peer's state, or the changes since a position of its change log.
+    :param log_id: id of that log.
+    :param position: position in the log up to which the state includes the changes.
     """
 
     state: Snapshot | Changes
@@ -128,67 +128,70 @@
     position: int
 
 
-def decode_state(data: bytes, known: KnownState = NOTHING_KNOWN) -> ToldState:
-    """Decode published state.
+def decode_state(data: bytes, known: KnownState = NOTHING_KNOWN) -> DecodedState:
+    """Decode the published state, or changes to it.
 
-    :param data: the bytes.
-    :param known: what the receiver has told that it has, to which the bytes may refer.
-    :returns: what the peer told.
-    :raises StateError: when they are none, or refer to something else.
+    :param data: the encoded state.
+    :param known: the state that the receiver has described to the sender, to which the data may
+        refer.
+    :returns: the state.
+    :raises StateError: when the data is invalid, or refers to something else.
     """
     try:
-        sent = _read(data)
-        plan = _plan(sent, known.plan)
+        encoded = _parse(data)
+        plan = _decode_plan(encoded, known.plan)
     except ValueError as error:
-        raise StateError(f"a peer's bytes are no published state: {error}") from error
-    searchers = known.searchers if sent.same_searchers else sent.searchers
-    revision = Revision(sent.era, sent.revision)
+        raise StateError(f"invalid published state received from a peer: {error}") from error
+    searchers = known.searchers if encoded.same_searchers else encoded.searchers
+    revision = Revision(encoded.era, encoded.revision)
     state: Snapshot | Changes
-    if sent.removed is None:
+    if encoded.removed is None:
         state = Snapshot(
             revision,
             plan,
             searchers,
-            sent.age_ms,
-            sent.lapsed_ms,
-            evacuated=sent.evacuated,
+            encoded.age_ms,
+            encoded.lapsed_ms,
+            evacuated=encoded.evacuated,
         )
     else:
         state = Changes(
             revision,
             plan,
             searchers,
-            sent.removed,
-            sent.age_ms,
+            encoded.removed,
+            encoded.age_ms,
             True,
-            sent.lapsed_ms,
-            evacuations=sent.evacuations,
+            encoded.lapsed_ms,
+            evacuations=encoded.evacuations,
         )
-    return ToldState(state, sent.log, sent.position)
+    return DecodedState(state, encoded.log, encoded.position)
 
 
-def _sent_plan(plan: ServingPlan) -> _SentPlan:
-    return _SentPlan(plan.version, plan.routes, tuple(plan.services.values()), plan.limits)
+def _encode_plan(plan: ServingPlan) -> _EncodedPlan:
+    return _EncodedPlan(plan.version, plan.routes, tuple(plan.services.values()), plan.limits)
 
 
-def _plan(sent: _SentState, base: ServingPlan | None) -> ServingPlan | None:
-    if sent.plan_change is not None:
+def _decode_plan(encoded: _EncodedState, base: ServingPlan | None) -> ServingPlan | None:
+    if encoded.plan_change is not None:
         if base is None:
-            raise ValueError("a change of a configuration that is not known here")
-        return _plan_change(sent.plan_change).apply(base)
-    if sent.plan is None:
+            raise ValueError(
+                "the serving plan is encoded relative to one that this node does not have"
+            )
+        return _decode_plan_change(encoded.plan_change).apply(base)
+    if encoded.plan is None:
         return None
-    services = {service.name: service for service in sent.plan.services}
-    return ServingPlan(sent.plan.version, sent.plan.routes, services, sent.plan.limits)
+    services = {service.name: service for service in encoded.plan.services}
+    return ServingPlan(encoded.plan.version, encoded.plan.routes, services, encoded.plan.limits)
 
 
-def _plan_change(sent: _SentPlanChange) -> PlanChange:
-    routes = (convert(one, KeptRoutes if "start" in one else Route) for one in sent.routes)
+def _decode_plan_change(encoded: _EncodedPlanChange) -> PlanChange:
+    routes = (convert(one, KeptRoutes if "start" in one else Route) for one in encoded.routes)
     return PlanChange(
-        base_version=sent.base_version,
-        version=sent.version,
+        base_version=encoded.base_version,
+        version=encoded.version,
         routes=tuple(routes),
-        services=sent.services,
-        gone=sent.gone,
-        limits=sent.limits,
+        services=encoded.services,
+        gone=encoded.gone,
+        limits=encoded.limits,
     )
--- a/rhubarbhinge/peers/_state_service.py
+++ b/rhubarbhinge/peers/_state_service.py
@@ -1,4 +1,4 @@
-"""Answers to other entries: published state, its changes, and the list of entries."""
+"""HTTP service for other nodes: published state, its changes, and the list of members."""
 
 from collections.abc import Callable
 
@@ -13,17 +13,17 @@
 from rhubarbhinge.utils.whole_number import whole_number
 from rhubarbhinge.web import Request, Responder, Response, error_response
 
-MOST_DIGITS = 18
-"""Longest number in a query; places in the log and versions have fewer."""
+MAX_DIGITS = 18
+"""Longest number in a query; log positions and plan versions have fewer digits."""
 
 
-class _Place(Struct, frozen=True):
-    """What an entry that asks has already.
+class _RequesterState(Struct, frozen=True):
+    """The state that the requesting node already has.
 
-    :param log_id: the log whose changes it follows; empty for none.
-    :param position: up to where in the log it knows them.
-    :param plan_version: version of its configuration; -1 for none.
-    :param searchers: digest of its searchers; empty when it did not tell.
+    :param log_id: id of the log that it follows; empty for none.
+    :param position: position in that log up to which it has the changes.
+    :param plan_version: version of its serving plan; -1 for none.
+    :param searchers: digest of its searchers; empty if not given.
     """
 
     log_id: str
@@ -32,21 +32,21 @@
     searchers: str
 
 
-class _Waiting(Struct, frozen=True, eq=False):
-    """An entry that waits for changes."""
+class _LongPoll(Struct, frozen=True, eq=False):
+    """A pending request for changes."""
 
     responder: Responder
-    place: _Place
+    requester: _RequesterState
 
 
 class StateService:
-    """Answers other entries.
+    """Answers requests of other nodes.
 
     :param timers: the timer service.
-    :param follower: knows the published state.
-    :param membership: knows the entries.
-    :param reads_platform: tells whether this entry reads the platform itself, with success.
-    :ivar leaving: whether this entry is stopping, so that others are to follow another one.
+    :param follower: follows the published state.
+    :param membership: the members of the fleet.
+    :param reads_platform: returns whether this node successfully reads the platform itself.
+    :ivar leaving: whether this node is stopping, so that others have to follow another one.
     """
 
     def __init__(
@@ -60,21 +60,23 @@
         self._follower = follower
         self._membership = membership
         self._reads_platform = reads_platform
-        self._waiting: list[_Waiting] = []
-        self._telling = False
+        self._long_polls: list[_LongPoll] = []
+        self._is_scheduled = False
         self.leaving = False
-        follower.on_changed = self._grown
+        follower.on_changed = self._on_log_grown
 
     def answer(self, request: Request, responder: Responder) -> None:
-        """Answer another entry.
+        """Answer a request.
 
         :param request: the request.
-        :param responder: answers it.
+        :param responder: sends the response.
         """
         if request.path == STATE_PATH:
-            responder.answer(self._state(self._follower.snapshot(), _place(request)))
+            responder.answer(
+                self._state_response(self._follower.snapshot(), _requester_state(request))
+            )
         elif request.path == CHANGES_PATH:
-            self._asked_for_changes(request, responder)
+            self._answer_changes(request, responder)
         elif request.path == MEMBERS_PATH:
             known = (*self._membership.table.all(), self._membership.me)
             responder.answer(Response(200, encode_members(known)))
@@ -83,64 +85,66 @@
                 error_response(404, "no-such-path", "Only entries call here.", "Use another port.")
             )
 
-    def _state(self, state: Snapshot | Changes, place: _Place) -> Response:
-        """Tell state to an entry, without what it has already."""
+    def _state_response(self, state: Snapshot | Changes, requester: _RequesterState) -> Response:
+        """Encode a state without the parts that the requesting node already has."""
         log = self._follower.log
-        whole = isinstance(state, Snapshot)
-        same_searchers = whole and place.searchers == self._follower.searchers_digest() != ""
-        base_plan = None if state.plan is None else log.find_plan(place.plan_version)
+        is_full = isinstance(state, Snapshot)
+        same_searchers = is_full and requester.searchers == self._follower.searchers_digest() != ""
+        base_plan = None if state.plan is None else log.find_plan(requester.plan_version)
         return Response(200, encode_state(state, log.id, log.position, base_plan, same_searchers))
 
-    def _asked_for_changes(self, request: Request, responder: Responder) -> None:
+    def _answer_changes(self, request: Request, responder: Responder) -> None:
         if not self._reads_platform() or self.leaving:
             message = "This entry does not read the platform itself."
             responder.answer(error_response(503, "no-reader", message, "Ask the platform."))
             return
         log = self._follower.log
-        place = _place(request)
-        if (place.log_id, place.position) == (log.id, log.position):
-            waiting = _Waiting(responder, place)
-            self._waiting.append(waiting)
-            self._timers.after(CHANGES_WAIT_MS, lambda: self._tell_changes(waiting))
+        requester = _requester_state(request)
+        if (requester.log_id, requester.position) == (log.id, log.position):
+            long_poll = _LongPoll(responder, requester)
+            self._long_polls.append(long_poll)
+            self._timers.after(CHANGES_WAIT_MS, lambda: self._on_timeout(long_poll))
         else:
-            responder.answer(self._changes(place))
-
-    def _grown(self) -> None:
-        """Tell those that wait, once for all changes of this turn."""
-        if self._waiting and not self._telling:
-            self._telling = True
-            self._timers.after(0, self._tell_all)
-
-    def _tell_all(self) -> None:
-        """Tell all that wait; most are at the same place, for which the answer is made once."""
-        self._telling = False
-        all_waiting, self._waiting = self._waiting, []
-        answers: dict[_Place, Response] = {}
-        for waiting in all_waiting:
-            if waiting.place not in answers:
-                answers[waiting.place] = self._changes(waiting.place)
-            waiting.responder.answer(answers[waiting.place])
-
-    def _tell_changes(self, waiting: _Waiting) -> None:
-        if waiting in self._waiting:
-            self._waiting.remove(waiting)
-            waiting.responder.answer(self._changes(waiting.place))
-
-    def _changes(self, place: _Place) -> Response:
-        return self._state(self._follower.changes_since(place.log_id, place.position), place)
-
-
-def _place(request: Request) -> _Place:
+            responder.answer(self._changes_response(requester))
+
+    def _on_log_grown(self) -> None:
+        """Answer long polls, once for all changes of this event loop iteration."""
+        if self._long_polls and not self._is_scheduled:
+            self._is_scheduled = True
+            self._timers.after(0, self._answer_long_polls)
+
+    def _answer_long_polls(self) -> None:
+        """Answer all long polls; most have the same state and share one encoded response."""
+        self._is_scheduled = False
+        long_polls, self._long_polls = self._long_polls, []
+        responses: dict[_RequesterState, Response] = {}
+        for long_poll in long_polls:
+            if long_poll.requester not in responses:
+                responses[long_poll.requester] = self._changes_response(long_poll.requester)
+            long_poll.responder.answer(responses[long_poll.requester])
+
+    def _on_timeout(self, long_poll: _LongPoll) -> None:
+        if long_poll in self._long_polls:
+            self._long_polls.remove(long_poll)
+            long_poll.responder.answer(self._changes_response(long_poll.requester))
+
+    def _changes_response(self, requester: _RequesterState) -> Response:
+        return self._state_response(
+            self._follower.changes_since(requester.log_id, requester.position), requester
+        )
+
+
+def _requester_state(request: Request) -> _RequesterState:
     query = request.query
-    return _Place(
+    return _RequesterState(
         query.get("log", ""),
-        _number(query.get("after", "")),
-        _number(query.get(PLAN_PARAMETER, "")),
+        _parse_number(query.get("after", "")),
+        _parse_number(query.get(PLAN_PARAMETER, "")),
         query.get(SEARCHERS_PARAMETER, ""),
     )
 
 
-def _number(text: str) -> int:
-    """Read a number of a query, -1 for none."""
-    number = whole_number(text, MOST_DIGITS)
+def _parse_number(text: str) -> int:
+    """Parse a number of a query; -1 if it is missing or invalid."""
+    number = whole_number(text, MAX_DIGITS)
     return -1 if number is None else number
--- a/rhubarbhinge/peers/tests/telling.py
+++ b/rhubarbhinge/peers/tests/telling.py
@@ -6,7 +6,7 @@
 
 from rhubarbhinge.fleet import Fleet, Searcher
 from rhubarbhinge.members import Member
-from rhubarbhinge.peers import KnownState, Reports, SharedSource
+from rhubarbhinge.peers import KnownState, PeerReports, SharedSource
 from rhubarbhinge.peers._state_service import StateService
 from rhubarbhinge.plans import CallerLimits, Route, Service, ServingPlan, ShardSet
 from rhubarbhinge.published import Changes, Follower, ReadFault, Snapshot
@@ -116,7 +116,7 @@
         self.source = SharedSource(timers, client, self.store, name, "hall-a", reader.port)
         self.source.know(
             OneReader(Member("vm-1", "127.0.0.1", "hall-a", 1)),
-            Reports(),
+            PeerReports(),
             lambda: KnownState.of(self.follower),
         )
         fleet = Fleet(timers.now_ms, lambda observed: None)
--- a/rhubarbhinge/peers/tests/test_pulling.py
+++ b/rhubarbhinge/peers/tests/test_pulling.py
@@ -94,7 +94,7 @@
 
     def hear(self, ip: str = "127.0.0.2", **changes: object) -> None:
         beat = replace(BEAT, **changes)
-        self.peers._datagram(ip, self.port, encode_heartbeat(beat))
+        self.peers._on_datagram(ip, self.port, encode_heartbeat(beat))
 
     def test_the_first_that_is_heard_gives_its_list_of_entries(self):
         self.hear()
@@ -107,7 +107,7 @@
 
     def test_datagrams_that_are_no_heartbeats_change_nothing(self):
         for data in (b"", b"[]", b'["vm-2"]', b"\xff" * 20_000):
-            self.peers._datagram("127.0.0.9", self.port, data)
+            self.peers._on_datagram("127.0.0.9", self.port, data)
         self.assertEqual(self.peers.membership.processes(), 1)
 
     def test_an_entry_whose_watch_is_silent_takes_what_a_peer_knows(self):
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.members import Member, Membership, MemberState, Published
-from rhubarbhinge.peers import KnownState, Report, Reports, SharedSource, encode_state
+from rhubarbhinge.peers import KnownState, PeerReport, PeerReports, SharedSource, encode_state
 from rhubarbhinge.published import Changes, ReadFault, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import at
@@ -54,7 +54,7 @@
             lambda ip, heartbeat: None,
             lambda: Published(at(40), 0.0),
         )
-        self.reports = Reports()
+        self.reports = PeerReports()
         self.source = SharedSource(self.timers, self.client, self.store, "vm-2", "hall-a", 7380)
         self.source.know(self.membership, self.reports)
         self.told = []
@@ -62,7 +62,7 @@
     def hear(self, age_ms: float = 12.0, **changes: object) -> None:
         member = replace(READER, **changes)
         self.membership.on_members([member])
-        self.reports.add(Report(member, at(40), age_ms, self.timers.now_ms()))
+        self.reports.add(PeerReport(member, at(40), age_ms, self.timers.now_ms()))
 
     def wait(self, after: int = 40) -> None:
         self.source.wait_for_changes(at(after), self.told.append)
--- a/rhubarbhinge/peers/tests/test_state_codec.py
+++ b/rhubarbhinge/peers/tests/test_state_codec.py
@@ -11,7 +11,7 @@
 
 from rhubarbhinge.fleet import Fleet, Searcher
 from rhubarbhinge.gateway import Splitter
-from rhubarbhinge.peers import KnownState, StateError, ToldState, decode_state, encode_state
+from rhubarbhinge.peers import DecodedState, KnownState, StateError, decode_state, encode_state
 from rhubarbhinge.plans import (
     CallerLimits,
     Route,
@@ -59,7 +59,7 @@
             Changes(at(9, 2), by_peer=True),
         ):
             told = decode_state(encode_state(state, "log", 4))
-            self.assertEqual(told, ToldState(state, "log", 4))
+            self.assertEqual(told, DecodedState(state, "log", 4))
 
     def test_what_the_receiver_has_is_not_told_and_reads_back_all_the_same(self):
         shards = ShardSet(tuple(f"shard-{n}" for n in range(90)), 5, 0.75)
@@ -77,8 +77,8 @@
                 for base_plan, same in ((None, False), (base, True))
             )
             self.assertLess(10 * len(short), len(whole))
-            self.assertEqual(decode_state(short, known), ToldState(state, "log", 4))
-            self.assertEqual(decode_state(whole, known), ToldState(state, "log", 4))
+            self.assertEqual(decode_state(short, known), DecodedState(state, "log", 4))
+            self.assertEqual(decode_state(whole, known), DecodedState(state, "log", 4))
 
     def test_a_release_before_evacuations_tells_nothing_of_them(self):
         sent = orjson.loads(
--- a/rhubarbhinge/published/tests/test_restore_schedules.py
+++ b/rhubarbhinge/published/tests/test_restore_schedules.py
@@ -18,7 +18,7 @@
 
 from rhubarbhinge.fleet import Fleet, Searcher
 from rhubarbhinge.members import Member, Published
-from rhubarbhinge.peers import Report
+from rhubarbhinge.peers import PeerReport
 from rhubarbhinge.plans import CallerLimits, ServingPlan
 from rhubarbhinge.published import Changes, Evacuation, Follower, ReadFault, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
@@ -233,7 +233,7 @@
         """Take the state of a peer that its heartbeat shows to be ahead, and be confirmed by it."""
         told = peer.published()
         member = Member(peer.name, "10.0.0.9", "hall-a", 1)
-        report = Report(member, told.revision, told.age_ms, 0.0, told.plan_version)
+        report = PeerReport(member, told.revision, told.age_ms, 0.0, told.plan_version)
         self.follower.on_peer_revision(told.revision, told.age_ms)
         known = self.published()
         level = told.revision == known.revision and told.age_ms >= 0
