--- a/rhubarbhinge/published/tests/fake_source.py
+++ b/rhubarbhinge/published/tests/fake_source.py
@@ -1,20 +1,20 @@
-"""A source of published state that a test answers for."""
+"""Source of published state whose responses a test provides."""
 
 
 class FakeSource:
-    """Keeps what was asked, for the test to answer."""
+    """Records calls, for the test to respond to."""
 
     def __init__(self):
-        self.asked: list[str] = []
-        self.answer = None
+        self.calls: list[str] = []
+        self.respond = None
 
     def read_all(self, on_done) -> None:
-        self.asked.append("all")
-        self.answer = on_done
+        self.calls.append("all")
+        self.respond = on_done
 
     def request_full_state(self) -> None:
-        self.asked.append("for all")
+        self.calls.append("full state")
 
     def wait_for_changes(self, after_revision, on_done) -> None:
-        self.asked.append(f"after {after_revision.number}")
-        self.answer = on_done
+        self.calls.append(f"after {after_revision.number}")
+        self.respond = on_done
--- a/rhubarbhinge/published/tests/test_restore_schedules.py
+++ b/rhubarbhinge/published/tests/test_restore_schedules.py
@@ -1,10 +1,10 @@
-"""A platform that does all that it may, in any order, and entries that read it and each other.
+"""Randomized schedules of platform failures, and nodes that read the platform and each other.
 
-The platform comes back from copies, forgets its history, loses answers, gives them late, lists what
-is old, and can't be reached by some. Three entries read it, follow one another, and take whole
-states from each other. Whatever is told in which order: no entry goes back to an older
-configuration, what is known never falls, what has left gets nothing new, and no second sees more
-than some calls. In the end all know what the platform holds.
+The platform is restored from backups, loses its history, loses or delays responses, returns stale
+lists, and is unreachable for some nodes. Three nodes read it, follow one another, and pull full
+states from each other. In any order of events, no node reverts to an older serving plan, no known
+revision decreases, searchers that have left get no requests, and the rate of calls is bounded.
+Finally all nodes agree with the platform.
 """
 
 import random
@@ -27,14 +27,14 @@
 SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=400)
 SEARCHERS = tuple(f"i-{number}" for number in range(4))
 DOMAINS = ("hall-a", "hall-b")
-ENTRIES = 3
+NODES = 3
 STEP_MS = 400.0
 LEASE_MS = 3_600.0
-"""An entry of a searcher that writes no more is removed after so long."""
+"""Time after which the entry of a searcher that no longer writes is removed."""
 SETTLE_MS = 8_000.0
-"""Longer than a lease, and than whatever is kept for a while."""
-MOST_CALLS_PER_S = 12
-"""Of an entry: four rounds of changes, each with a loss of the history, a list and a watch."""
+"""Longer than a lease, and than any entry is retained or set aside."""
+MAX_CALLS_PER_S = 12
+"""Of one node: four rounds of changes, each with lost history, a list and a watch."""
 
 
 def plan(version: int) -> ServingPlan:
@@ -42,15 +42,15 @@
 
 
 @dataclass(frozen=True)
-class Copy:
-    """What the platform held at one time."""
+class Backup:
+    """The contents of the platform at one time."""
 
     number: int
     searchers: dict[str, Searcher]
     evacuated: frozenset[str]
     version: int
-    events: tuple[tuple[int, str], ...]
-    first: int
+    changes_by_revision: tuple[tuple[int, str], ...]
+    first_revision: int
 
 
 class Platform:
@@ -62,73 +62,76 @@
         self.searchers: dict[str, Searcher] = {}
         self.evacuated: set[str] = set()
         self.version = 1
-        self.events: list[tuple[int, str]] = []
-        self.first = 0
-        self.alive: dict[str, Searcher] = {}
+        self.changes_by_revision: list[tuple[int, str]] = []
+        self.first_revision = 0
+        self.live_searchers: dict[str, Searcher] = {}
         self.restored_ms = 0.0
-        self.wants_evacuated: set[str] = set()
-        self.wants_version = 1
+        self.desired_evacuated: set[str] = set()
+        self.desired_version = 1
 
     @property
     def revision(self) -> Revision:
         return Revision(self.era, self.number)
 
     def write_searcher(self, name: str) -> None:
-        self.searchers[name] = self.alive[name]
-        self._changed(f"searcher {name}")
+        self.searchers[name] = self.live_searchers[name]
+        self._record_change(f"searcher {name}")
 
     def remove_searcher(self, name: str) -> None:
         if self.searchers.pop(name, None) is not None:
-            self._changed(f"searcher {name}")
+            self._record_change(f"searcher {name}")
 
     def write_version(self) -> None:
-        self.version = self.wants_version
-        self._changed("plan")
+        self.version = self.desired_version
+        self._record_change("plan")
 
     def write_evacuation(self, domain: str) -> None:
-        if (domain in self.evacuated) == (domain in self.wants_evacuated):
+        if (domain in self.evacuated) == (domain in self.desired_evacuated):
             return
         self.evacuated ^= {domain}
-        self._changed(f"evacuated {domain}")
+        self._record_change(f"evacuated {domain}")
 
-    def copy(self) -> Copy:
-        return Copy(
+    def backup(self) -> Backup:
+        return Backup(
             self.number,
             dict(self.searchers),
             frozenset(self.evacuated),
             self.version,
-            tuple(self.events),
-            self.first,
+            tuple(self.changes_by_revision),
+            self.first_revision,
         )
 
-    def restore(self, copy: Copy, now_ms: float) -> None:
+    def restore(self, backup: Backup, now_ms: float) -> None:
         self.era += 1
         self.restored_ms = now_ms
-        self.number, self.searchers = copy.number, dict(copy.searchers)
-        self.evacuated, self.version = set(copy.evacuated), copy.version
-        self.events, self.first = list(copy.events), copy.first
+        self.number, self.searchers = backup.number, dict(backup.searchers)
+        self.evacuated, self.version = set(backup.evacuated), backup.version
+        self.changes_by_revision, self.first_revision = (
+            list(backup.changes_by_revision),
+            backup.first_revision,
+        )
 
-    def end_leases(self, now_ms: float) -> None:
-        """Remove the entries of searchers that write no more and stand in the copy."""
+    def expire_leases(self, now_ms: float) -> None:
+        """Remove entries of searchers that a backup held and that no longer write."""
         if now_ms - self.restored_ms >= LEASE_MS:
-            for name in [name for name in self.searchers if name not in self.alive]:
+            for name in [name for name in self.searchers if name not in self.live_searchers]:
                 self.remove_searcher(name)
 
-    def write_again(self) -> None:
-        """Have the operator and the searchers write what they wrote."""
-        for name, searcher in self.alive.items():
+    def write_desired_state(self) -> None:
+        """Have the operator and the searchers write their current entries."""
+        for name, searcher in self.live_searchers.items():
             if self.searchers.get(name) != searcher:
                 self.write_searcher(name)
         for domain in DOMAINS:
             self.write_evacuation(domain)
-        if self.version != self.wants_version:
+        if self.version != self.desired_version:
             self.write_version()
 
     def compact(self) -> None:
-        self.events.clear()
-        self.first = self.number
+        self.changes_by_revision.clear()
+        self.first_revision = self.number
 
-    def listed(self, age_ms: float = 0.0) -> Snapshot:
+    def list_all(self, age_ms: float = 0.0) -> Snapshot:
         return Snapshot(
             self.revision,
             plan(self.version),
@@ -137,10 +140,10 @@
             evacuated=tuple(sorted(self.evacuated)),
         )
 
-    def watched(self, after: int) -> Changes | ReadFault:
-        if not self.first <= after <= self.number:
+    def watch(self, after: int) -> Changes | ReadFault:
+        if not self.first_revision <= after <= self.number:
             return ReadFault("status-410", history_lost=True)
-        keys = {key for number, key in self.events if number > after}
+        keys = {key for number, key in self.changes_by_revision if number > after}
         names = sorted(key.split()[1] for key in keys if key.startswith("searcher"))
         domains = sorted(key.split()[1] for key in keys if key.startswith("evacuated"))
         return Changes(
@@ -151,43 +154,43 @@
             evacuations=tuple(Evacuation(one, one in self.evacuated) for one in domains),
         )
 
-    def _changed(self, key: str) -> None:
+    def _record_change(self, key: str) -> None:
         self.number += 1
-        self.events.append((self.number, key))
+        self.changes_by_revision.append((self.number, key))
 
 
-class Entry:
-    """An entry, whose reads the schedule answers."""
+class Node:
+    """A node whose reads the schedule answers."""
 
     def __init__(self, timers: FakeTimers, number: int):
         self.timers = timers
         self.name = f"vm-{number}"
-        self.asked: Revision | None = None
-        self.answer: Callable[[Changes | Snapshot | ReadFault], None] | None = None
+        self.pending_revision: Revision | None = None
+        self.callback: Callable[[Changes | Snapshot | ReadFault], None] | None = None
         self.calls_ms: list[float] = []
-        self.place: tuple[str, int, int] = ("", -1, 0)
-        self.highest = (0, NO_REVISION)
+        self.log_position: tuple[str, int, int] = ("", -1, 0)
+        self.highest_seen = (0, NO_REVISION)
         self.fleet = Fleet(timers.now_ms, lambda observed: None)
-        self.seen: set[Searcher] = set()
-        self.gone: set[Searcher] = set()
-        """Those that had left, and were published no more, when this entry let them go."""
-        self.first = True
+        self.seen_searchers: set[Searcher] = set()
+        self.removed_searchers: set[Searcher] = set()
+        """Searchers that had left and were no longer published when this node removed them."""
+        self.is_first_read = True
         self.needs_full_state = False
         rng = random.Random(number)
         self.follower = Follower(timers, self, self.fleet, rng, lambda plan: None)
         self.follower.start()
 
     def read_all(self, on_done) -> None:
-        self._called(None, on_done)
+        self._record_call(None, on_done)
 
     def request_full_state(self) -> None:
         self.needs_full_state = True
 
     def wait_for_changes(self, after_revision, on_done) -> None:
-        self._called(after_revision, on_done)
+        self._record_call(after_revision, on_done)
 
-    def _called(self, asked, on_done) -> None:
-        self.asked, self.answer = asked, on_done
+    def _record_call(self, pending_revision, on_done) -> None:
+        self.pending_revision, self.callback = pending_revision, on_done
         self.calls_ms.append(self.timers.now_ms())
 
     def published(self) -> Published:
@@ -195,216 +198,229 @@
         return Published(self.follower.revision, self.follower.age_ms(), version)
 
     def outcome(self, platform: Platform) -> Changes | Snapshot | ReadFault:
-        if self.asked is not None and self.needs_full_state:
+        if self.pending_revision is not None and self.needs_full_state:
             return ReadFault("settled", history_lost=True)
-        if self.asked is None:
-            return platform.listed(-1.0 if self.first else 0.0)
-        return platform.watched(self.asked.number)
+        if self.pending_revision is None:
+            return platform.list_all(-1.0 if self.is_first_read else 0.0)
+        return platform.watch(self.pending_revision.number)
 
-    def tell(self, outcome) -> None:
-        """Answer what is asked."""
-        answer, self.answer = self.answer, None
+    def respond(self, outcome) -> None:
+        """Complete the pending read."""
+        callback, self.callback = self.callback, None
         if isinstance(outcome, Snapshot):
             self.needs_full_state = False
-        self.first = False
-        if answer is not None:
-            answer(outcome)
+        self.is_first_read = False
+        if callback is not None:
+            callback(outcome)
 
     def read(self, platform: Platform) -> None:
-        if self.answer is not None:
-            self.place = ("", -1, 0)
-            self.tell(self.outcome(platform))
+        if self.callback is not None:
+            self.log_position = ("", -1, 0)
+            self.respond(self.outcome(platform))
 
-    def follow(self, reader: "Entry") -> None:
-        """Have its wait answered by another entry, as one that reads for the domain does."""
-        if self.asked is None or self.answer is None:
+    def follow(self, reader: "Node") -> None:
+        """Complete the pending wait with the response of the reader of its domain."""
+        if self.pending_revision is None or self.callback is None:
             return
-        log_id, position, era = self.place
-        same_era = era == self.asked.era == self.follower.revision.era
+        log_id, position, era = self.log_position
+        same_era = era == self.pending_revision.era == self.follower.revision.era
         if not same_era or self.needs_full_state:
             log_id, position = "", -1
         state = reader.follower.changes_since(log_id, position)
         if state.revision < self.follower.revision or not reader.follower.is_current():
             return
-        self.place = (reader.follower.log.id, reader.follower.log.position, state.revision.era)
-        self.tell(state)
+        self.log_position = (
+            reader.follower.log.id,
+            reader.follower.log.position,
+            state.revision.era,
+        )
+        self.respond(state)
 
-    def pull(self, peer: "Entry") -> None:
-        """Take the state of a peer that its heartbeat shows to be ahead, and be confirmed by it."""
-        told = peer.published()
+    def pull(self, peer: "Node") -> None:
+        """Process the heartbeat of a peer, and pull its state if that is ahead."""
+        status = peer.published()
         member = Member(peer.name, "10.0.0.9", "hall-a", 1)
-        report = PeerReport(member, told.revision, told.age_ms, 0.0, told.plan_version)
-        self.follower.on_peer_revision(told.revision, told.age_ms)
+        report = PeerReport(member, status.revision, status.age_ms, 0.0, status.plan_version)
+        self.follower.on_peer_revision(status.revision, status.age_ms)
         known = self.published()
-        level = told.revision == known.revision and told.age_ms >= 0
+        is_same_revision = status.revision == known.revision and status.age_ms >= 0
         needs_full_state = self.follower.needs_peers and self.follower.needs_full_state
-        if report.is_ahead_of(known) or (level and needs_full_state):
+        if report.is_ahead_of(known) or (is_same_revision and needs_full_state):
             self.follower.offer(peer.follower.snapshot())
 
     def check(self, platform: Platform) -> None:
-        version, revision = self.highest
+        version, revision = self.highest_seen
         known = self.published()
-        assert known.plan_version >= version, "back to an older configuration"
+        assert known.plan_version >= version, "reverted to an older serving plan"
         if known.age_ms >= 0:
-            assert known.revision >= revision, "what is known has fallen"
+            assert known.revision >= revision, "the known revision has decreased"
             revision = known.revision
-        self.highest = (known.plan_version, revision)
+        self.highest_seen = (known.plan_version, revision)
         published = {one.incarnation for one in self.follower.snapshot().searchers}
         assert {one.searcher.incarnation for one in self.fleet.all()} == published
         known = {replace(one.searcher, draining=False): one.usable for one in self.fleet.all()}
-        # What the platform lists is no more than kept aside by those that know better.
-        there = (*platform.alive.values(), *platform.searchers.values())
-        self.gone |= self.seen - known.keys() - {replace(one, draining=False) for one in there}
-        self.seen = set(known)
-        for one in self.gone:
-            assert not known.get(one), "what has left is used again"
+        # Searchers that the platform still lists do not count as removed: nodes that know that they
+        # have left only set them aside.
+        platform_searchers = (*platform.live_searchers.values(), *platform.searchers.values())
+        self.removed_searchers |= (
+            self.seen_searchers
+            - known.keys()
+            - {replace(one, draining=False) for one in platform_searchers}
+        )
+        self.seen_searchers = set(known)
+        for one in self.removed_searchers:
+            assert not known.get(one), "a searcher that has left is used again"
         now_ms = self.timers.now_ms()
         self.calls_ms = [at_ms for at_ms in self.calls_ms if at_ms > now_ms - 1_000.0]
-        assert len(self.calls_ms) <= MOST_CALLS_PER_S, "calls without pauses"
+        assert len(self.calls_ms) <= MAX_CALLS_PER_S, "too many calls in a second"
 
 
 class Schedule:
-    """Carries out drawn steps and checks what must hold after each."""
+    """Executes generated steps and checks the invariants after each."""
 
     def __init__(self):
         self.timers = FakeTimers()
         self.platform = Platform()
-        self.copies = [self.platform.copy()]
-        self.born = 1_000
-        self.cut: set[int] = set()
-        self.late: list[tuple[Entry, Callable, object]] = []
-        self.entries = [Entry(self.timers, number) for number in range(ENTRIES)]
+        self.backups = [self.platform.backup()]
+        self.start_unix_ms = 1_000
+        self.partitioned: set[int] = set()
+        self.delayed: list[tuple[Node, Callable, object]] = []
+        self.nodes = [Node(self.timers, number) for number in range(NODES)]
 
     def step(self, kind: str, number: int) -> None:
         getattr(self, f"do_{kind}")(number)
         self.check()
 
     def check(self) -> None:
-        for entry in self.entries:
-            entry.check(self.platform)
+        for node in self.nodes:
+            node.check(self.platform)
 
-    def do_begin(self, number: int) -> None:
-        self.born += 10
+    def do_start(self, number: int) -> None:
+        self.start_unix_ms += 10
         name = SEARCHERS[number]
         ip = f"10.0.0.{number + 1}"
-        one = Searcher(name, "s", ip, 80, DOMAINS[number % 2], 2, started_unix_ms=self.born)
-        self.platform.alive[name] = one
+        one = Searcher(
+            name, "s", ip, 80, DOMAINS[number % 2], 2, started_unix_ms=self.start_unix_ms
+        )
+        self.platform.live_searchers[name] = one
         self.platform.write_searcher(name)
 
     def do_drain(self, number: int) -> None:
         name = SEARCHERS[number]
-        if name in self.platform.alive:
-            self.platform.alive[name] = replace(self.platform.alive[name], draining=True)
+        if name in self.platform.live_searchers:
+            self.platform.live_searchers[name] = replace(
+                self.platform.live_searchers[name], draining=True
+            )
             self.platform.write_searcher(name)
 
     def do_leave(self, number: int) -> None:
-        self.platform.alive.pop(SEARCHERS[number], None)
+        self.platform.live_searchers.pop(SEARCHERS[number], None)
         self.platform.remove_searcher(SEARCHERS[number])
 
     def do_configure(self, number: int) -> None:
-        self.platform.wants_version += 1 + number
+        self.platform.desired_version += 1 + number
         self.platform.write_version()
 
     def do_evacuate(self, number: int) -> None:
         domain = DOMAINS[number % 2]
-        self.platform.wants_evacuated ^= {domain}
+        self.platform.desired_evacuated ^= {domain}
         self.platform.write_evacuation(domain)
 
-    def do_copy(self, number: int) -> None:
-        self.copies.append(self.platform.copy())
+    def do_backup(self, number: int) -> None:
+        self.backups.append(self.platform.backup())
 
     def do_restore(self, number: int) -> None:
-        self.platform.restore(self.copies[-1 - number % len(self.copies)], self.timers.now_ms())
-        # What was copied of a later time is no part of what came back.
-        self.copies = [one for one in self.copies if one.number <= self.platform.number]
-
-    def do_lose(self, number: int) -> None:
-        """Lose a change that all in reach have read."""
-        copy = self.platform.copy()
-        (self.do_begin, self.do_leave, self.do_configure, self.do_evacuate)[number](number)
+        self.platform.restore(self.backups[-1 - number % len(self.backups)], self.timers.now_ms())
+        # Backups of a later time do not belong to the restored history.
+        self.backups = [one for one in self.backups if one.number <= self.platform.number]
+
+    def do_lose_change(self, number: int) -> None:
+        """Lose a change that all reachable nodes have read."""
+        backup = self.platform.backup()
+        (self.do_start, self.do_leave, self.do_configure, self.do_evacuate)[number](number)
         for _ in range(2):
             self.do_read_all(number)
-        self.platform.restore(copy, self.timers.now_ms())
+        self.platform.restore(backup, self.timers.now_ms())
 
     def do_read_all(self, number: int) -> None:
-        for place, entry in enumerate(self.entries):
-            if place not in self.cut:
-                entry.read(self.platform)
+        for index, node in enumerate(self.nodes):
+            if index not in self.partitioned:
+                node.read(self.platform)
         self.do_wait(number)
 
     def do_rewrite(self, number: int) -> None:
-        self.platform.write_again()
+        self.platform.write_desired_state()
 
     def do_compact(self, number: int) -> None:
         self.platform.compact()
 
     def do_read(self, number: int) -> None:
-        entry = self.entries[number % ENTRIES]
-        if number % ENTRIES not in self.cut:
-            entry.read(self.platform)
+        node = self.nodes[number % NODES]
+        if number % NODES not in self.partitioned:
+            node.read(self.platform)
 
     def do_fail(self, number: int) -> None:
-        self.entries[number % ENTRIES].tell(ReadFault("timeout"))
+        self.nodes[number % NODES].respond(ReadFault("timeout"))
 
-    def do_keep_late(self, number: int) -> None:
-        """Take an answer of now that comes later."""
-        entry = self.entries[number % ENTRIES]
-        if entry.answer is not None and number % ENTRIES not in self.cut:
-            self.late.append((entry, entry.answer, entry.outcome(self.platform)))
+    def do_delay_response(self, number: int) -> None:
+        """Record a current response, to be delivered later."""
+        node = self.nodes[number % NODES]
+        if node.callback is not None and number % NODES not in self.partitioned:
+            self.delayed.append((node, node.callback, node.outcome(self.platform)))
 
-    def do_late(self, number: int) -> None:
-        """Have an answer of before come, if it is still waited for."""
-        if self.late:
-            entry, answer, outcome = self.late.pop(0)
-            if entry.answer is answer:
-                entry.place = ("", -1, 0)
-                entry.tell(outcome)
+    def do_deliver_response(self, number: int) -> None:
+        """Deliver a delayed response, if it is still awaited."""
+        if self.delayed:
+            node, callback, outcome = self.delayed.pop(0)
+            if node.callback is callback:
+                node.log_position = ("", -1, 0)
+                node.respond(outcome)
 
-    def do_cut(self, number: int) -> None:
-        self.cut ^= {number % ENTRIES}
+    def do_partition(self, number: int) -> None:
+        self.partitioned ^= {number % NODES}
 
     def do_follow(self, number: int) -> None:
-        self.entries[1].follow(self.entries[0])
+        self.nodes[1].follow(self.nodes[0])
 
     def do_pull(self, number: int) -> None:
-        self.entries[number % ENTRIES].pull(self.entries[(number + 1 + number // 2) % ENTRIES])
+        self.nodes[number % NODES].pull(self.nodes[(number + 1 + number // 2) % NODES])
 
-    def do_start_again(self, number: int) -> None:
-        self.entries[number % ENTRIES] = Entry(self.timers, number % ENTRIES)
+    def do_restart(self, number: int) -> None:
+        self.nodes[number % NODES] = Node(self.timers, number % NODES)
 
     def do_wait(self, number: int) -> None:
         self.timers.advance(STEP_MS)
-        self.platform.end_leases(self.timers.now_ms())
+        self.platform.expire_leases(self.timers.now_ms())
 
     def settle(self) -> None:
-        """Have everything written again and read by those that reach the platform."""
-        self.platform.write_again()
+        """Rewrite all entries and let the nodes that reach the platform read them."""
+        self.platform.write_desired_state()
         for _ in range(3):
             for _ in range(round(SETTLE_MS / STEP_MS)):
                 self.do_wait(0)
-                for number, entry in enumerate(self.entries):
-                    if number in self.cut:
-                        entry.tell(ReadFault("timeout"))
+                for number, node in enumerate(self.nodes):
+                    if number in self.partitioned:
+                        node.respond(ReadFault("timeout"))
                     else:
-                        entry.read(self.platform)
-                    for peer in self.entries:
-                        if peer is not entry:
-                            entry.pull(peer)
+                        node.read(self.platform)
+                    for peer in self.nodes:
+                        if peer is not node:
+                            node.pull(peer)
                 self.check()
 
 
 KINDS = (
-    "begin",
-    "begin",
+    "start",
+    "start",
     "drain",
     "leave",
     "configure",
     "configure",
     "evacuate",
-    "copy",
+    "backup",
     "restore",
-    "lose",
-    "lose",
+    "lose_change",
+    "lose_change",
     "rewrite",
     "compact",
     "read",
@@ -412,14 +428,14 @@
     "read_all",
     "read_all",
     "fail",
-    "keep_late",
-    "late",
-    "cut",
+    "delay_response",
+    "deliver_response",
+    "partition",
     "follow",
     "follow",
     "pull",
     "pull",
-    "start_again",
+    "restart",
     "wait",
     "wait",
 )
@@ -429,17 +445,17 @@
 class RestoreSchedulesTest(unittest.TestCase):
     @SETTINGS
     @given(STEPS)
-    def test_whatever_the_platform_does_in_which_order(self, steps):
+    def test_invariants_hold_for_any_order_of_events(self, steps):
         schedule = Schedule()
         for kind, number in steps:
             schedule.step(kind, number)
-        schedule.cut = {number for number in schedule.cut if number == 2}
+        schedule.partitioned = {number for number in schedule.partitioned if number == 2}
         schedule.settle()
         platform = schedule.platform
-        for entry in schedule.entries:
-            state = entry.follower.snapshot()
-            self.assertEqual(state.plan.version, platform.wants_version)
+        for node in schedule.nodes:
+            state = node.follower.snapshot()
+            self.assertEqual(state.plan.version, platform.desired_version)
             self.assertEqual(state.revision, platform.revision)
-            self.assertEqual(state.evacuated, tuple(sorted(platform.wants_evacuated)))
+            self.assertEqual(state.evacuated, tuple(sorted(platform.desired_evacuated)))
             published = {one.incarnation: one for one in state.searchers}
-            self.assertEqual(published, platform.alive)
+            self.assertEqual(published, platform.live_searchers)
--- a/rhubarbhinge/published/tests/test_restores.py
+++ b/rhubarbhinge/published/tests/test_restores.py
@@ -1,4 +1,4 @@
-"""A platform that comes back from a copy of itself: what it lost, what it holds again, and when."""
+"""A platform that is restored from a backup, which lacks entries or holds obsolete ones."""
 
 import random
 import unittest
@@ -10,12 +10,12 @@
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import at
 
-GRACE_MS = 2_000.0
-"""What searchers and operators wrote is back within this time."""
-LEASE_MS = 5_000.0
-"""A searcher that is still published after so long has written."""
-SETTLED_MS = 8_000.0
-"""So long after a return everything is asked for once more."""
+REWRITE_GRACE_MS = 2_000.0
+"""Time within which searchers and operators write their entries again."""
+VERIFICATION_MS = 5_000.0
+"""A searcher that is still published after this time has written again."""
+RESYNC_DELAY_MS = 8_000.0
+"""Time after a restore at which the full state is requested once more."""
 HISTORY_LOST = ReadFault("status-410", history_lost=True)
 
 
@@ -33,32 +33,32 @@
 class RestoresCase(unittest.TestCase):
     def setUp(self):
         self.timers = FakeTimers()
-        self.source, self.fleet, self.follower = self.follow()
-        self.answer(Snapshot(at(50, 1), plan(24), FIRST, evacuated=()))
+        self.source, self.fleet, self.follower = self.make_follower()
+        self.respond(Snapshot(at(50, 1), plan(24), FIRST, evacuated=()))
 
-    def follow(self) -> tuple[FakeSource, Fleet, Follower]:
+    def make_follower(self) -> tuple[FakeSource, Fleet, Follower]:
         source = FakeSource()
         fleet = Fleet(self.timers.now_ms, lambda observed: None)
         follower = Follower(self.timers, source, fleet, random.Random(1), lambda plan: None)
         follower.start()
         return source, fleet, follower
 
-    def answer(self, outcome) -> None:
-        self.source.answer(outcome)
+    def respond(self, outcome) -> None:
+        self.source.respond(outcome)
 
-    def restored(self, number: int = 40, era: int = 2, version: int = 22, **listed) -> None:
-        """Have the watch find no history, and the list tell a later era."""
-        self.answer(HISTORY_LOST)
-        if self.source.asked[-1] != "all":
+    def restore_platform(self, number: int = 40, era: int = 2, version: int = 22, **listed) -> None:
+        """Make the watch report lost history, and the list a later era."""
+        self.respond(HISTORY_LOST)
+        if self.source.calls[-1] != "all":
             self.timers.advance(150.0)
         listed = {"searchers": FIRST, "evacuated": ()} | listed
-        self.answer(Snapshot(at(number, era), plan(version), **listed))
+        self.respond(Snapshot(at(number, era), plan(version), **listed))
 
-    def changes(self, number: int, era: int = 2, **changes) -> None:
+    def send_changes(self, number: int, era: int = 2, **changes) -> None:
         self.timers.advance(300.0)
-        self.answer(Changes(at(number, era), **changes))
+        self.respond(Changes(at(number, era), **changes))
 
-    def known(self) -> list[str]:
+    def known_incarnations(self) -> list[str]:
         return sorted(one.searcher.incarnation for one in self.fleet.all())
 
     def usable(self) -> list[str]:
@@ -66,39 +66,43 @@
 
 
 class OrderTest(RestoresCase):
-    def test_what_is_written_after_the_return_is_taken_though_its_revisions_are_lower(self):
-        self.restored()
-        self.assertEqual(self.source.asked[-1], "after 40")
-        self.changes(42, plan=plan(28), searchers=(searcher("i-3"),))
-        self.assertEqual((self.follower.plan.version, self.known()), (28, ["i-1", "i-2", "i-3"]))
+    def test_changes_after_restore_are_applied_despite_lower_revisions(self):
+        self.restore_platform()
+        self.assertEqual(self.source.calls[-1], "after 40")
+        self.send_changes(42, plan=plan(28), searchers=(searcher("i-3"),))
+        self.assertEqual(
+            (self.follower.plan.version, self.known_incarnations()), (28, ["i-1", "i-2", "i-3"])
+        )
         self.assertEqual(self.follower.revision, at(42, 2))
 
-    def test_the_configuration_does_not_go_back_to_that_of_the_copy(self):
-        self.restored()
+    def test_plan_does_not_revert_to_that_of_the_backup(self):
+        self.restore_platform()
         self.assertEqual((self.follower.plan.version, self.follower.revision), (24, at(40, 2)))
 
-    def test_a_watch_that_reaches_the_known_number_in_another_era_brings_a_list(self):
-        self.answer(Changes(at(51, 2), None, (searcher("i-9"),)))
-        self.assertEqual((self.source.asked[-1], self.known()), ("all", ["i-1", "i-2"]))
-        self.answer(Snapshot(at(51, 2), plan(28), FIRST, evacuated=()))
-        self.assertEqual((self.follower.plan.version, self.source.asked[-1]), (28, "after 51"))
+    def test_watch_result_of_another_era_triggers_a_list(self):
+        self.respond(Changes(at(51, 2), None, (searcher("i-9"),)))
+        self.assertEqual(
+            (self.source.calls[-1], self.known_incarnations()), ("all", ["i-1", "i-2"])
+        )
+        self.respond(Snapshot(at(51, 2), plan(28), FIRST, evacuated=()))
+        self.assertEqual((self.follower.plan.version, self.source.calls[-1]), (28, "after 51"))
 
-    def test_a_watch_from_before_is_of_no_use_though_a_peer_told_its_era(self):
+    def test_watch_started_before_restore_triggers_a_list_after_peer_reported_its_era(self):
         self.follower.offer(Snapshot(at(40, 2), plan(24), FIRST, 5.0, evacuated=()))
-        self.answer(Changes(at(52, 2), None, (searcher("i-9"),)))
-        self.assertEqual((self.source.asked[-1], self.follower.revision), ("all", at(40, 2)))
+        self.respond(Changes(at(52, 2), None, (searcher("i-9"),)))
+        self.assertEqual((self.source.calls[-1], self.follower.revision), ("all", at(40, 2)))
 
-    def test_a_late_list_of_the_former_era_changes_and_confirms_nothing(self):
-        self.answer(HISTORY_LOST)
+    def test_late_list_of_former_era_is_ignored(self):
+        self.respond(HISTORY_LOST)
         self.follower.offer(Snapshot(at(40, 2), plan(24), FIRST, 5.0, evacuated=()))
         self.timers.advance(6_900.0)
-        self.answer(Snapshot(at(60, 1), plan(23), (searcher("i-9"),), evacuated=("hall-a",)))
-        self.assertEqual((self.known(), self.follower.evacuated), (["i-1", "i-2"], ()))
+        self.respond(Snapshot(at(60, 1), plan(23), (searcher("i-9"),), evacuated=("hall-a",)))
+        self.assertEqual((self.known_incarnations(), self.follower.evacuated), (["i-1", "i-2"], ()))
         self.timers.advance(200.0)
         self.assertFalse(self.follower.is_current())
 
-    def test_an_era_that_only_peers_tell_is_followed(self):
-        self.answer(ReadFault("timeout"))
+    def test_era_reported_only_by_peers_is_followed(self):
+        self.respond(ReadFault("timeout"))
         self.follower.offer(Snapshot(at(30, 2), plan(28), FIRST, 5.0, evacuated=()))
         self.assertEqual((self.follower.plan.version, self.follower.revision), (28, at(30, 2)))
         self.timers.advance(8_000.0)
@@ -107,206 +111,208 @@
         self.follower.on_peer_revision(at(30, 2), 5.0)
         self.assertTrue(self.follower.is_current())
 
-    def test_a_peer_of_the_former_era_that_is_further_in_numbers_is_behind(self):
-        self.restored()
+    def test_peer_of_former_era_with_higher_number_is_behind(self):
+        self.restore_platform()
         self.follower.offer(Snapshot(at(90, 1), plan(24), (), 5.0, evacuated=("hall-a",)))
-        self.assertEqual((self.known(), self.follower.evacuated), (["i-1", "i-2"], ()))
+        self.assertEqual((self.known_incarnations(), self.follower.evacuated), (["i-1", "i-2"], ()))
 
-    def test_two_returns_one_after_the_other(self):
-        self.restored()
-        self.restored(number=35, era=3)
-        self.changes(36, era=3, plan=plan(28))
+    def test_two_successive_restores(self):
+        self.restore_platform()
+        self.restore_platform(number=35, era=3)
+        self.send_changes(36, era=3, plan=plan(28))
         self.assertEqual((self.follower.plan.version, self.follower.revision), (28, at(36, 3)))
 
-    def test_a_first_list_that_may_be_old_yields_to_what_is_confirmed(self):
-        source, fleet, follower = self.follow()
-        source.answer(Snapshot(at(56, 2), plan(24), FIRST, -1.0, evacuated=()))
+    def test_stale_first_list_yields_to_confirmed_state(self):
+        source, fleet, follower = self.make_follower()
+        source.respond(Snapshot(at(56, 2), plan(24), FIRST, -1.0, evacuated=()))
         follower.offer(Snapshot(at(40, 2), plan(22), FIRST[:1], 5.0, evacuated=()))
         self.assertEqual((follower.revision, follower.plan.version), (at(40, 2), 24))
-        source.answer(HISTORY_LOST)
-        source.answer(Snapshot(at(58, 2), plan(22), (), -1.0, evacuated=()))
+        source.respond(HISTORY_LOST)
+        source.respond(Snapshot(at(58, 2), plan(22), (), -1.0, evacuated=()))
         self.assertEqual(follower.revision, at(40, 2))
 
-    def test_who_follows_by_changes_hears_of_the_era(self):
-        place = (self.follower.log.id, self.follower.log.position)
-        source, fleet, follower = self.follow()
-        source.answer(self.follower.snapshot())
-        self.restored()
-        self.changes(42, plan=plan(28))
-        source.answer(self.follower.changes_since(*place))
+    def test_incremental_followers_learn_the_era(self):
+        position = (self.follower.log.id, self.follower.log.position)
+        source, fleet, follower = self.make_follower()
+        source.respond(self.follower.snapshot())
+        self.restore_platform()
+        self.send_changes(42, plan=plan(28))
+        source.respond(self.follower.changes_since(*position))
         self.assertEqual((follower.plan.version, follower.revision), (28, at(42, 2)))
 
-    def test_a_platform_whose_answers_change_between_eras_is_called_with_pauses(self):
-        answered = 0
+    def test_responses_alternating_between_eras_are_retried_with_backoff(self):
+        handled = 0
         for step in range(200):
-            while answered < len(self.source.asked) < 1_000:
-                answered = len(self.source.asked)
-                state = at(40, 2) if self.source.asked[-1] == "all" else at(45, 3 - step % 2 * 2)
-                listed = self.source.asked[-1] == "all"
-                self.answer(Snapshot(state, plan(22), FIRST) if listed else Changes(state))
+            while handled < len(self.source.calls) < 1_000:
+                handled = len(self.source.calls)
+                state = at(40, 2) if self.source.calls[-1] == "all" else at(45, 3 - step % 2 * 2)
+                listed = self.source.calls[-1] == "all"
+                self.respond(Snapshot(state, plan(22), FIRST) if listed else Changes(state))
             self.timers.advance(50.0)
-        # 10 s, with pauses of 100, 200, 400, 800 and 1,000 ms, less 30% each.
-        self.assertLess(self.source.asked.count("all"), 20)
+        # 10 s with delays of 100, 200, 400, 800 and 1,000 ms, each less up to 30%.
+        self.assertLess(self.source.calls.count("all"), 20)
 
 
 class SearchersTest(RestoresCase):
-    def test_searchers_that_the_copy_lacks_are_kept_until_they_have_written(self):
-        self.restored(searchers=FIRST[:1])
+    def test_searcher_missing_in_backup_is_retained_until_it_writes(self):
+        self.restore_platform(searchers=FIRST[:1])
         self.timers.advance(300.0)
-        self.answer(Changes(at(41, 2), None, (searcher("i-2"),)))
-        self.timers.advance(GRACE_MS)
+        self.respond(Changes(at(41, 2), None, (searcher("i-2"),)))
+        self.timers.advance(REWRITE_GRACE_MS)
         self.assertEqual(self.usable(), ["i-1", "i-2"])
 
-    def test_searchers_that_the_copy_lacks_and_that_do_not_write_are_gone(self):
-        self.restored(searchers=FIRST[:1])
-        self.timers.advance(GRACE_MS - 100.0)
+    def test_searcher_missing_in_backup_is_removed_if_it_does_not_write(self):
+        self.restore_platform(searchers=FIRST[:1])
+        self.timers.advance(REWRITE_GRACE_MS - 100.0)
         self.assertEqual(self.usable(), ["i-1", "i-2"])
         self.timers.advance(200.0)
-        self.assertEqual(self.known(), ["i-1"])
+        self.assertEqual(self.known_incarnations(), ["i-1"])
 
-    def test_also_where_a_peer_tells_that_never_knew_them(self):
+    def test_searcher_unknown_to_peer_is_removed_after_the_grace_period(self):
         self.follower.offer(Snapshot(at(40, 2), plan(24), FIRST[:1], 5.0, evacuated=()))
-        self.timers.advance(GRACE_MS - 100.0)
+        self.timers.advance(REWRITE_GRACE_MS - 100.0)
         self.assertEqual(self.usable(), ["i-1", "i-2"])
         self.timers.advance(200.0)
-        self.assertEqual(self.known(), ["i-1"])
+        self.assertEqual(self.known_incarnations(), ["i-1"])
 
-    def test_a_second_return_gives_them_the_whole_time_again(self):
-        self.restored(searchers=FIRST[:1])
-        self.timers.advance(GRACE_MS - 400.0)
-        self.restored(number=39, era=3, searchers=FIRST[:1])
-        self.timers.advance(GRACE_MS - 100.0)
+    def test_second_restore_restarts_the_grace_period(self):
+        self.restore_platform(searchers=FIRST[:1])
+        self.timers.advance(REWRITE_GRACE_MS - 400.0)
+        self.restore_platform(number=39, era=3, searchers=FIRST[:1])
+        self.timers.advance(REWRITE_GRACE_MS - 100.0)
         self.assertEqual(self.usable(), ["i-1", "i-2"])
         self.timers.advance(200.0)
-        self.assertEqual(self.known(), ["i-1"])
+        self.assertEqual(self.known_incarnations(), ["i-1"])
 
-    def leave(self) -> None:
-        """Have i-2 leave, and the copy hold it again."""
-        self.changes(51, era=1, removed=("i-2",))
+    def restore_after_removal(self) -> None:
+        """Remove i-2, then restore a backup that includes it."""
+        self.send_changes(51, era=1, removed=("i-2",))
         self.timers.advance(300.0)
-        self.restored()
-
-    def test_a_searcher_that_had_left_and_stands_in_the_copy_gets_nothing(self):
-        self.leave()
-        self.timers.advance(LEASE_MS - 500.0)
-        self.assertEqual(self.known(), ["i-1"])
-        self.answer(Changes(at(41, 2), None, (), ("i-2",)))
-        self.timers.advance(LEASE_MS)
-        self.assertEqual(self.known(), ["i-1"])
-
-    def test_one_that_writes_again_is_used_at_once(self):
-        self.leave()
-        self.changes(41, searchers=(searcher("i-2"),))
+        self.restore_platform()
+
+    def test_removed_searcher_in_backup_is_not_used(self):
+        self.restore_after_removal()
+        self.timers.advance(VERIFICATION_MS - 500.0)
+        self.assertEqual(self.known_incarnations(), ["i-1"])
+        self.respond(Changes(at(41, 2), None, (), ("i-2",)))
+        self.timers.advance(VERIFICATION_MS)
+        self.assertEqual(self.known_incarnations(), ["i-1"])
+
+    def test_removed_searcher_in_backup_is_used_once_it_writes(self):
+        self.restore_after_removal()
+        self.send_changes(41, searchers=(searcher("i-2"),))
         self.assertEqual(self.usable(), ["i-1", "i-2"])
 
-    def test_one_whose_entry_outlasts_a_lease_lives(self):
-        self.leave()
-        self.timers.advance(LEASE_MS - 100.0)
-        self.assertEqual(self.known(), ["i-1"])
-        # Nobody has told since whether it was removed.
+    def test_removed_searcher_in_backup_is_used_if_listed_longer_than_a_lease(self):
+        self.restore_after_removal()
+        self.timers.advance(VERIFICATION_MS - 100.0)
+        self.assertEqual(self.known_incarnations(), ["i-1"])
+        # No response since then could have reported its removal.
         self.timers.advance(600.0)
-        self.assertEqual(self.known(), ["i-1"])
-        self.answer(Changes(at(40, 2)))
+        self.assertEqual(self.known_incarnations(), ["i-1"])
+        self.respond(Changes(at(40, 2)))
         self.timers.advance(600.0)
         self.assertEqual(self.usable(), ["i-1", "i-2"])
 
-    def test_it_is_no_more_proven_by_a_further_list_of_the_copy(self):
-        self.leave()
+    def test_another_list_of_the_backup_does_not_verify_a_removed_searcher(self):
+        self.restore_after_removal()
         self.timers.advance(300.0)
-        self.answer(HISTORY_LOST)
-        self.answer(Snapshot(at(41, 2), plan(22), FIRST, evacuated=()))
-        self.assertEqual(self.known(), ["i-1"])
+        self.respond(HISTORY_LOST)
+        self.respond(Snapshot(at(41, 2), plan(22), FIRST, evacuated=()))
+        self.assertEqual(self.known_incarnations(), ["i-1"])
         self.timers.advance(400.0)
-        self.answer(HISTORY_LOST)
+        self.respond(HISTORY_LOST)
         self.timers.advance(200.0)
-        self.answer(Snapshot(at(43, 2), plan(22), FIRST[:1], evacuated=()))
-        self.timers.advance(LEASE_MS)
-        self.assertEqual(self.known(), ["i-1"])
-
-    def test_also_where_a_reader_that_did_not_know_it_tells_of_it(self):
-        place = (self.follower.log.id, self.follower.log.position)
-        source, fleet, follower = self.follow()
-        source.answer(Snapshot(at(51, 1), plan(24), FIRST[:1], evacuated=()))
-        self.changes(51, era=1, removed=("i-2",))
-        place = (follower.log.id, follower.log.position)
-        source.answer(HISTORY_LOST)
-        source.answer(Snapshot(at(40, 2), plan(22), FIRST, evacuated=()))
+        self.respond(Snapshot(at(43, 2), plan(22), FIRST[:1], evacuated=()))
+        self.timers.advance(VERIFICATION_MS)
+        self.assertEqual(self.known_incarnations(), ["i-1"])
+
+    def test_removed_searcher_listed_by_a_reader_that_never_knew_it_is_verified(self):
+        position = (self.follower.log.id, self.follower.log.position)
+        source, fleet, follower = self.make_follower()
+        source.respond(Snapshot(at(51, 1), plan(24), FIRST[:1], evacuated=()))
+        self.send_changes(51, era=1, removed=("i-2",))
+        position = (follower.log.id, follower.log.position)
+        source.respond(HISTORY_LOST)
+        source.respond(Snapshot(at(40, 2), plan(22), FIRST, evacuated=()))
         self.timers.advance(300.0)
-        self.answer(follower.changes_since(*place))
-        self.assertEqual((self.follower.revision, self.known()), (at(40, 2), ["i-1"]))
-        self.timers.advance(LEASE_MS)
+        self.respond(follower.changes_since(*position))
+        self.assertEqual((self.follower.revision, self.known_incarnations()), (at(40, 2), ["i-1"]))
+        self.timers.advance(VERIFICATION_MS)
         self.follower.on_peer_revision(at(40, 2), 0.0)
         self.timers.advance(600.0)
         self.assertEqual(self.usable(), ["i-1", "i-2"])
 
-    def test_a_draining_searcher_that_the_copy_holds_as_ready_gets_nothing(self):
-        self.changes(51, era=1, searchers=(searcher("i-2", draining=True),))
+    def test_draining_searcher_that_is_ready_in_backup_is_not_used(self):
+        self.send_changes(51, era=1, searchers=(searcher("i-2", draining=True),))
         self.timers.advance(300.0)
-        self.restored()
+        self.restore_platform()
         self.assertEqual(self.usable(), ["i-1"])
-        source, fleet, follower = self.follow()
-        source.answer(self.follower.snapshot())
+        source, fleet, follower = self.make_follower()
+        source.respond(self.follower.snapshot())
         self.assertEqual([one.searcher.incarnation for one in fleet.all() if one.usable], ["i-1"])
 
 
 class EvacuationsTest(RestoresCase):
-    def test_an_evacuation_that_the_copy_lacks_holds_until_it_is_written_again(self):
-        self.changes(51, era=1, evacuations=(Evacuation("hall-a", True),))
+    def test_evacuation_missing_in_backup_holds_until_written_again(self):
+        self.send_changes(51, era=1, evacuations=(Evacuation("hall-a", True),))
         self.timers.advance(300.0)
-        self.restored()
+        self.restore_platform()
         self.assertEqual(self.usable(), [])
-        self.changes(41, evacuations=(Evacuation("hall-a", True),))
-        self.timers.advance(GRACE_MS)
+        self.send_changes(41, evacuations=(Evacuation("hall-a", True),))
+        self.timers.advance(REWRITE_GRACE_MS)
         self.assertEqual(self.usable(), [])
 
-    def test_one_that_is_not_written_again_is_over(self):
-        self.changes(51, era=1, evacuations=(Evacuation("hall-a", True),))
+    def test_evacuation_missing_in_backup_ends_if_not_written_again(self):
+        self.send_changes(51, era=1, evacuations=(Evacuation("hall-a", True),))
         self.timers.advance(300.0)
-        self.restored()
-        self.timers.advance(GRACE_MS + 100.0)
+        self.restore_platform()
+        self.timers.advance(REWRITE_GRACE_MS + 100.0)
         self.assertEqual(self.usable(), ["i-1", "i-2"])
 
-    def test_one_that_is_over_and_stands_in_the_copy_holds_until_its_end_is_written_again(self):
-        self.restored(evacuated=("hall-a",))
+    def test_ended_evacuation_in_backup_holds_until_its_end_is_written_again(self):
+        self.restore_platform(evacuated=("hall-a",))
         self.assertEqual(self.usable(), [])
-        self.changes(41, evacuations=(Evacuation("hall-a", False),))
+        self.send_changes(41, evacuations=(Evacuation("hall-a", False),))
         self.assertEqual(self.usable(), ["i-1", "i-2"])
 
-    def test_what_is_written_meanwhile_counts_at_once_and_for_good(self):
-        self.restored()
-        self.changes(41, evacuations=(Evacuation("hall-a", True),))
+    def test_evacuation_written_after_restore_takes_effect_at_once_and_persists(self):
+        self.restore_platform()
+        self.send_changes(41, evacuations=(Evacuation("hall-a", True),))
         self.assertEqual(self.usable(), [])
-        self.timers.advance(GRACE_MS + 100.0)
+        self.timers.advance(REWRITE_GRACE_MS + 100.0)
         self.assertEqual(self.usable(), [])
 
 
-class OnceMoreTest(RestoresCase):
-    """What ends by time has no revision, so that an entry at the same one would not hear of it."""
+class ResyncTest(RestoresCase):
+    """What expires by time has no revision, so nodes at the same revision would not learn of it."""
 
-    def test_everything_is_asked_for_once_more_when_all_is_settled(self):
-        self.restored()
-        self.changes(41)
-        self.timers.advance(SETTLED_MS - 600.0)
-        self.answer(Changes(at(41, 2)))
-        self.assertNotIn("for all", self.source.asked)
+    def test_full_state_is_requested_once_after_settling(self):
+        self.restore_platform()
+        self.send_changes(41)
+        self.timers.advance(RESYNC_DELAY_MS - 600.0)
+        self.respond(Changes(at(41, 2)))
+        self.assertNotIn("full state", self.source.calls)
         self.timers.advance(300.0)
-        self.answer(Changes(at(41, 2)))
+        self.respond(Changes(at(41, 2)))
         self.timers.advance(300.0)
-        self.assertEqual(self.source.asked[-2:], ["for all", "after 41"])
-        self.answer(Snapshot(at(41, 2), plan(24), FIRST[:1], evacuated=("hall-a",)))
-        self.assertEqual((self.known(), self.follower.evacuated), (["i-1"], ("hall-a",)))
+        self.assertEqual(self.source.calls[-2:], ["full state", "after 41"])
+        self.respond(Snapshot(at(41, 2), plan(24), FIRST[:1], evacuated=("hall-a",)))
+        self.assertEqual(
+            (self.known_incarnations(), self.follower.evacuated), (["i-1"], ("hall-a",))
+        )
         self.timers.advance(300.0)
         self.assertEqual(
-            (self.source.asked[-1], self.follower.needs_full_state), ("after 41", False)
+            (self.source.calls[-1], self.follower.needs_full_state), ("after 41", False)
         )
 
-    def test_a_peer_that_is_just_as_far_tells_it_to_one_that_is_cut_off(self):
+    def test_partitioned_node_resyncs_from_peer_at_same_revision(self):
         state = Snapshot(at(40, 2), plan(24), FIRST, 5.0, evacuated=("hall-a",))
         self.follower.offer(state)
         self.assertEqual(self.follower.evacuated, ("hall-a",))
-        # The evacuation was only kept for a while by the peer, and ends there.
+        # The peer retained the evacuation only for a while, and ends it.
         ended = Snapshot(at(40, 2), plan(24), FIRST, 5.0, evacuated=())
-        self.timers.advance(SETTLED_MS - 100.0)
+        self.timers.advance(RESYNC_DELAY_MS - 100.0)
         self.follower.offer(ended)
         self.assertEqual(self.follower.evacuated, ("hall-a",))
         self.timers.advance(200.0)
--- a/rhubarbhinge/published/tests/test_starts.py
+++ b/rhubarbhinge/published/tests/test_starts.py
@@ -1,9 +1,9 @@
-"""Searchers that start again under their id, and entries of other writers, in any order of news.
+"""Searchers that restart under the same id, and unusable entries, with updates in any order.
 
-An entry reads the store, another one follows it, takes whole states of it late, or reads the store
-itself. Whatever is told in which order: no start is followed by an earlier one, what has left gets
-nothing new, an entry that can't be used names no searcher, and in the end all know what the store
-holds.
+One node reads the store. Another one follows it, receives outdated snapshots of it, or reads the
+store itself. In any order of updates, no start is replaced by an earlier one, searchers that have
+left get no requests, unusable entries yield no searcher, and finally all nodes agree with the
+store.
 """
 
 import random
@@ -22,127 +22,131 @@
 SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=400)
 IDS = ("i-0", "i-1", "i-2")
 SETTLE_MS = 8_000.0
-"""Longer than what vanished is kept, and than the longest pause between two reads."""
+"""Longer than vanished entries are retained, and than the longest delay between two reads."""
 
 
-def searcher(name: str, born: int | None, **changes: object) -> Searcher:
-    one = Searcher(name, "shard", "10.0.0.1", 80, "hall-a", 2, started_unix_ms=born)
+def searcher(name: str, start_unix_ms: int | None, **changes: object) -> Searcher:
+    one = Searcher(name, "shard", "10.0.0.1", 80, "hall-a", 2, started_unix_ms=start_unix_ms)
     return replace(one, **changes)
 
 
 class Store:
-    """What the platform holds: for each key a searcher, or None for what names none to use."""
+    """The platform's store: a searcher for each key, or None for an unusable value."""
 
     def __init__(self):
         self.revision = 1
-        self.held: dict[str, Searcher | None] = {}
-        self.events: list[tuple[int, str]] = []
-        self.first = 0
+        self.searchers: dict[str, Searcher | None] = {}
+        self.changes_by_revision: list[tuple[int, str]] = []
+        self.first_revision = 0
 
     def write(self, name: str, value: Searcher | None) -> None:
-        self.held[name] = value
-        self._changed(name)
+        self.searchers[name] = value
+        self._record_change(name)
 
     def remove(self, name: str) -> None:
-        if name in self.held:
-            del self.held[name]
-            self._changed(name)
+        if name in self.searchers:
+            del self.searchers[name]
+            self._record_change(name)
 
     def compact(self) -> None:
-        self.events.clear()
-        self.first = self.revision
+        self.changes_by_revision.clear()
+        self.first_revision = self.revision
 
-    def listed(self) -> Snapshot:
-        good = tuple(one for one in self.held.values() if one is not None)
-        return Snapshot(at(self.revision), None, good, unusable=self._unusable(self.held))
+    def list_all(self) -> Snapshot:
+        good = tuple(one for one in self.searchers.values() if one is not None)
+        return Snapshot(at(self.revision), None, good, unusable=self._unusable(self.searchers))
 
-    def watched(self, after: int) -> Changes | ReadFault:
-        if after < self.first:
+    def watch(self, after: int) -> Changes | ReadFault:
+        if after < self.first_revision:
             return ReadFault("status-410", history_lost=True)
-        names = {name for revision, name in self.events if revision > after}
-        good = tuple(self.held[name] for name in sorted(names) if self.held.get(name) is not None)
-        removed = tuple(sorted(names - self.held.keys()))
-        here = sorted(names & self.held.keys())
+        names = {name for revision, name in self.changes_by_revision if revision > after}
+        good = tuple(
+            self.searchers[name] for name in sorted(names) if self.searchers.get(name) is not None
+        )
+        removed = tuple(sorted(names - self.searchers.keys()))
+        here = sorted(names & self.searchers.keys())
         return Changes(at(self.revision), None, good, removed, unusable=self._unusable(here))
 
     def _unusable(self, names) -> tuple[UnusableEntry, ...]:
         return tuple(
             UnusableEntry(f"servers/{name}", "bad", name)
             for name in names
-            if self.held[name] is None
+            if self.searchers[name] is None
         )
 
-    def _changed(self, name: str) -> None:
+    def _record_change(self, name: str) -> None:
         self.revision += 1
-        self.events.append((self.revision, name))
+        self.changes_by_revision.append((self.revision, name))
 
 
-class Entry:
-    """An entry, whose reads the test answers."""
+class Node:
+    """A node whose reads the test answers."""
 
     def __init__(self, timers: FakeTimers, seed: int):
         self.timers = timers
-        self.asked: tuple[str, Revision] = ("", NO_REVISION)
-        self.answer = None
-        self.place = ("", -1)
+        self.pending_read: tuple[str, Revision] = ("", NO_REVISION)
+        self.callback = None
+        self.log_position = ("", -1)
         self.needs_full_state = False
-        self.left: list[ObservedSearcher] = []
-        self.drained: set = set()
-        self.newest: dict[str, int] = {}
-        self.fleet = Fleet(timers.now_ms, self.left.append)
+        self.left_searchers: list[ObservedSearcher] = []
+        self.drained_searchers: set = set()
+        self.latest_starts: dict[str, int] = {}
+        self.fleet = Fleet(timers.now_ms, self.left_searchers.append)
         self.follower = Follower(timers, self, self.fleet, random.Random(seed), lambda plan: None)
         self.follower.start()
 
     def read_all(self, on_done) -> None:
-        self.asked, self.answer = ("all", NO_REVISION), on_done
+        self.pending_read, self.callback = ("all", NO_REVISION), on_done
 
     def request_full_state(self) -> None:
-        self.place, self.needs_full_state = ("", -1), True
+        self.log_position, self.needs_full_state = ("", -1), True
 
     def wait_for_changes(self, after_revision, on_done) -> None:
-        self.asked, self.answer = ("changes", after_revision), on_done
+        self.pending_read, self.callback = ("changes", after_revision), on_done
 
     def read(self, store: Store) -> None:
-        kind, after = self.asked
-        self.place = ("", -1)
+        kind, after = self.pending_read
+        self.log_position = ("", -1)
         if kind == "all":
-            self._tell(store.listed())
+            self._respond(store.list_all())
         elif self.needs_full_state:
-            self._tell(ReadFault("settled", history_lost=True))
+            self._respond(ReadFault("settled", history_lost=True))
         else:
-            self._tell(store.watched(after.number))
+            self._respond(store.watch(after.number))
 
-    def follow(self, other: "Entry") -> None:
-        """Hear of another entry, as one that waits at it does, unless that one is behind."""
-        state = other.follower.changes_since(*self.place)
-        if self.asked[0] != "changes" or state.revision < self.asked[1]:
+    def follow(self, other: "Node") -> None:
+        """Receive changes from another node, as by a long poll, unless that node is behind."""
+        state = other.follower.changes_since(*self.log_position)
+        if self.pending_read[0] != "changes" or state.revision < self.pending_read[1]:
             return
-        self.place = (other.follower.log.id, other.follower.log.position)
-        self._tell(state)
+        self.log_position = (other.follower.log.id, other.follower.log.position)
+        self._respond(state)
 
     def fail(self) -> None:
-        self._tell(ReadFault("timeout"))
+        self._respond(ReadFault("timeout"))
 
-    def _tell(self, outcome) -> None:
-        answer, self.answer = self.answer, None
+    def _respond(self, outcome) -> None:
+        callback, self.callback = self.callback, None
         self.needs_full_state = self.needs_full_state and not isinstance(outcome, Snapshot)
-        if answer is not None:
-            answer(outcome)
+        if callback is not None:
+            callback(outcome)
 
     def check(self) -> None:
         for one in self.fleet.all():
             assert one.searcher in {two.searcher for two in self.fleet.of(one.searcher.service)}
-            name, born = one.searcher.incarnation, one.searcher.started_unix_ms
-            if born is not None:
-                assert born >= self.newest.get(name, 0), "an earlier start came after a later one"
-                self.newest[name] = born
+            name, start_unix_ms = one.searcher.incarnation, one.searcher.started_unix_ms
+            if start_unix_ms is not None:
+                assert start_unix_ms >= self.latest_starts.get(
+                    name, 0
+                ), "an earlier start replaced a later one"
+                self.latest_starts[name] = start_unix_ms
             if one.searcher.draining:
-                self.drained.add(one)
-        for one in (*self.drained, *self.left):
-            assert not one.usable, "what has left is used"
+                self.drained_searchers.add(one)
+        for one in (*self.drained_searchers, *self.left_searchers):
+            assert not one.usable, "a searcher that has left is used"
         known = {one.searcher.incarnation for one in self.fleet.all()}
         published = {one.incarnation for one in self.follower.snapshot().searchers}
-        assert known == published, "fleet and published state differ"
+        assert known == published, "the fleet and the published state differ"
 
 
 STEPS = st.lists(
@@ -153,17 +157,17 @@
                 "start",
                 "move",
                 "drain",
-                "late",
-                "spoil",
+                "write_stale",
+                "corrupt",
                 "remove",
-                "unborn",
+                "start_without_time",
                 "compact",
                 "read-0",
                 "read-0",
                 "read-1",
                 "follow",
                 "follow",
-                "keep",
+                "save",
                 "offer",
                 "fail-0",
                 "fail-1",
@@ -177,43 +181,45 @@
 
 
 class Schedule:
-    """Carries out drawn steps and checks what must hold after each."""
+    """Executes generated steps and checks the invariants after each."""
 
     def __init__(self):
         self.timers = FakeTimers()
         self.store = Store()
-        self.entries = (Entry(self.timers, 1), Entry(self.timers, 2))
-        self.born = 1_000
+        self.nodes = (Node(self.timers, 1), Node(self.timers, 2))
+        self.start_unix_ms = 1_000
         self.starts: dict[str, list[Searcher]] = {name: [] for name in IDS}
-        self.kept: Snapshot | None = None
+        self.saved_snapshot: Snapshot | None = None
 
     def step(self, kind: str, name: str) -> None:
         getattr(self, "do_" + kind.partition("-")[0])(name, kind)
-        for entry in self.entries:
-            entry.check()
+        for node in self.nodes:
+            node.check()
 
     def do_start(self, name: str, kind: str) -> None:
-        self.born += 10
-        self._written(searcher(name, self.born))
+        self.start_unix_ms += 10
+        self._write_start(searcher(name, self.start_unix_ms))
 
     def do_move(self, name: str, kind: str) -> None:
-        self.born += 10
-        self._written(searcher(name, self.born, service="other", port=81 + self.born % 7))
+        self.start_unix_ms += 10
+        self._write_start(
+            searcher(name, self.start_unix_ms, service="other", port=81 + self.start_unix_ms % 7)
+        )
 
-    def do_unborn(self, name: str, kind: str) -> None:
+    def do_start_without_time(self, name: str, kind: str) -> None:
         if not self.starts[name]:
             self.store.write(name, searcher(name, None))
 
     def do_drain(self, name: str, kind: str) -> None:
         if self.starts[name]:
-            self._written(replace(self.starts[name][-1], draining=True))
+            self._write_start(replace(self.starts[name][-1], draining=True))
 
-    def do_late(self, name: str, kind: str) -> None:
-        """Write what an earlier start has said of itself."""
+    def do_write_stale(self, name: str, kind: str) -> None:
+        """Write the entry of an earlier start."""
         if len(self.starts[name]) > 1:
             self.store.write(name, self.starts[name][-2])
 
-    def do_spoil(self, name: str, kind: str) -> None:
+    def do_corrupt(self, name: str, kind: str) -> None:
         self.store.write(name, None)
 
     def do_remove(self, name: str, kind: str) -> None:
@@ -223,33 +229,33 @@
         self.store.compact()
 
     def do_read(self, name: str, kind: str) -> None:
-        self.entries[int(kind[-1])].read(self.store)
+        self.nodes[int(kind[-1])].read(self.store)
 
     def do_follow(self, name: str, kind: str) -> None:
-        self.entries[1].follow(self.entries[0])
+        self.nodes[1].follow(self.nodes[0])
 
-    def do_keep(self, name: str, kind: str) -> None:
-        self.kept = self.entries[0].follower.snapshot()
+    def do_save(self, name: str, kind: str) -> None:
+        self.saved_snapshot = self.nodes[0].follower.snapshot()
 
     def do_offer(self, name: str, kind: str) -> None:
-        if self.kept is not None:
-            self.entries[1].follower.offer(self.kept)
+        if self.saved_snapshot is not None:
+            self.nodes[1].follower.offer(self.saved_snapshot)
 
     def do_fail(self, name: str, kind: str) -> None:
-        self.entries[int(kind[-1])].fail()
+        self.nodes[int(kind[-1])].fail()
 
     def do_wait(self, name: str, kind: str) -> None:
         self.timers.advance(400.0)
 
     def settle(self) -> None:
         for _ in range(6):
-            for entry in self.entries:
-                entry.read(self.store)
+            for node in self.nodes:
+                node.read(self.store)
             self.timers.advance(SETTLE_MS)
-            for entry in self.entries:
-                entry.check()
+            for node in self.nodes:
+                node.check()
 
-    def _written(self, one: Searcher) -> None:
+    def _write_start(self, one: Searcher) -> None:
         starts = self.starts[one.incarnation]
         if starts and starts[-1].started_unix_ms == one.started_unix_ms:
             starts[-1] = one
@@ -261,113 +267,113 @@
 class StartsTest(unittest.TestCase):
     @SETTINGS
     @given(STEPS)
-    def test_whatever_is_told_in_which_order(self, steps):
+    def test_invariants_hold_for_any_order_of_updates(self, steps):
         schedule = Schedule()
         for kind, name in steps:
             schedule.step(kind, name)
         schedule.settle()
-        for entry in schedule.entries:
-            known = {one.searcher.incarnation: one.searcher for one in entry.fleet.all()}
+        for node in schedule.nodes:
+            known = {one.searcher.incarnation: one.searcher for one in node.fleet.all()}
             for name in IDS:
-                held = schedule.store.held.get(name)
-                if held is None:
+                stored = schedule.store.searchers.get(name)
+                if stored is None:
                     self.assertNotIn(name, known)
-                elif (held.started_unix_ms or 1 << 60) >= entry.newest.get(name, 0):
-                    self.assertEqual(known[name].service, held.service)
-                    self.assertEqual(known[name].port, held.port)
+                elif (stored.started_unix_ms or 1 << 60) >= node.latest_starts.get(name, 0):
+                    self.assertEqual(known[name].service, stored.service)
+                    self.assertEqual(known[name].port, stored.port)
 
 
 class NextStartTest(unittest.TestCase):
     def setUp(self):
         self.store = Store()
-        self.entry = Entry(FakeTimers(), 1)
+        self.node = Node(FakeTimers(), 1)
         self.store.write("i-0", searcher("i-0", 1_000))
-        self.entry.read(self.store)
+        self.node.read(self.store)
 
     def observed(self) -> ObservedSearcher:
-        (one,) = self.entry.fleet.all()
+        (one,) = self.node.fleet.all()
         return one
 
     def write(self, one: Searcher | None) -> None:
         self.store.write("i-0", one)
-        self.entry.timers.advance(400.0)
-        self.entry.read(self.store)
+        self.node.timers.advance(400.0)
+        self.node.read(self.store)
 
-    def test_nothing_that_was_learned_of_a_start_holds_for_the_next_one(self):
-        first = self.observed()
-        first.on_unreachable()
+    def test_observations_of_a_start_do_not_apply_to_the_next_one(self):
+        first_start = self.observed()
+        first_start.on_unreachable()
         for attempt in range(9):
-            first.on_sent(attempt, 0.0)
-            first.on_refused(attempt, 0.0)
-        first.on_sent(9, 0.0)
-        self.entry.fleet.mark_gone(first)
+            first_start.on_sent(attempt, 0.0)
+            first_start.on_refused(attempt, 0.0)
+        first_start.on_sent(9, 0.0)
+        self.node.fleet.mark_gone(first_start)
         self.write(searcher("i-0", 2_000, warmup_ms=500.0))
         next_one = self.observed()
         self.assertTrue(next_one.usable and not next_one.is_down)
         self.assertEqual((next_one.refusal_share(0.0), next_one.slowness(0.0)), (0.0, 1.0))
         self.assertEqual(next_one.started_ms, {})
-        self.assertFalse(first.usable)
+        self.assertFalse(first_start.usable)
 
-    def test_without_the_time_of_a_start_leaving_stays_final_as_before(self):
+    def test_draining_is_final_without_start_times(self):
         self.write(None)
         self.store.write("i-0", searcher("i-0", None))
-        self.entry.timers.advance(400.0)
-        self.entry.read(self.store)
+        self.node.timers.advance(400.0)
+        self.node.read(self.store)
         self.write(searcher("i-0", None, draining=True))
         self.write(searcher("i-0", None))
         self.assertFalse(self.observed().usable)
 
-    def test_a_peer_of_an_earlier_release_that_leaves_the_time_out_changes_nothing(self):
+    def test_state_of_earlier_release_without_start_time_keeps_the_start(self):
         before = self.observed()
         snapshot = Snapshot(at(50), None, (searcher("i-0", None, warmup_ms=7.0),))
-        self.entry.follower.offer(snapshot)
+        self.node.follower.offer(snapshot)
         self.assertIs(self.observed(), before)
         self.assertEqual(before.searcher, searcher("i-0", 1_000, warmup_ms=7.0))
 
-    def test_what_lapsed_and_starts_again_is_kept_under_its_new_start_only(self):
-        self.entry.fail()
-        self.entry.timers.advance(400.0)
+    def test_lapsed_searcher_that_restarts_is_retained_under_its_new_start_only(self):
+        self.node.fail()
+        self.node.timers.advance(400.0)
         self.store.remove("i-0")
-        self.entry.read(self.store)
-        first = self.observed()
+        self.node.read(self.store)
+        first_start = self.observed()
         self.write(searcher("i-0", 2_000))
-        self.assertFalse(first.usable)
-        self.entry.timers.advance(5_000.0)
+        self.assertFalse(first_start.usable)
+        self.node.timers.advance(5_000.0)
         self.assertEqual(self.observed().searcher.started_unix_ms, 2_000)
 
-    def test_what_lapsed_is_not_kept_on_by_what_an_earlier_start_wrote_late(self):
+    def test_late_write_of_an_earlier_start_does_not_retain_a_lapsed_searcher(self):
         self.write(searcher("i-0", 2_000))
-        self.entry.timers.advance(400.0)
-        self.entry.fail()
-        self.entry.timers.advance(400.0)
+        self.node.timers.advance(400.0)
+        self.node.fail()
+        self.node.timers.advance(400.0)
         self.store.remove("i-0")
-        self.entry.read(self.store)
+        self.node.read(self.store)
         self.assertEqual(self.observed().searcher.started_unix_ms, 2_000)
         self.write(searcher("i-0", 1_000))
-        self.entry.timers.advance(5_000.0)
-        self.assertEqual(list(self.entry.fleet.all()), [])
+        self.node.timers.advance(5_000.0)
+        self.assertEqual(list(self.node.fleet.all()), [])
 
-    def test_what_an_earlier_start_wrote_late_brings_none_back_that_is_gone(self):
+    def test_late_write_of_an_earlier_start_does_not_restore_a_removed_searcher(self):
         self.write(searcher("i-0", 2_000))
         self.store.remove("i-0")
-        self.entry.timers.advance(400.0)
-        self.entry.read(self.store)
+        self.node.timers.advance(400.0)
+        self.node.read(self.store)
         self.write(searcher("i-0", 1_000))
-        self.assertEqual(list(self.entry.fleet.all()), [])
+        self.assertEqual(list(self.node.fleet.all()), [])
         self.write(searcher("i-0", 2_000))
         self.assertEqual(self.observed().searcher.started_unix_ms, 2_000)
 
-    def test_an_entry_that_is_overwritten_is_not_kept_as_one_that_lapsed(self):
+    def test_overwritten_entry_is_not_retained_as_lapsed(self):
         for kind in ("list", "watch"):
             with self.subTest(kind):
                 self.setUp()
-                self.entry.fail()
+                self.node.fail()
                 if kind == "list":
                     self.store.compact()
-                self.entry.timers.advance(400.0)
+                self.node.timers.advance(400.0)
                 self.store.write("i-0", None)
                 if kind == "list":
                     self.store.compact()
-                    self.entry.read(self.store)
-                self.entry.read(self.store)
-                self.assertEqual(list(self.entry.fleet.all()), [])
+                    self.node.read(self.store)
+                self.node.read(self.store)
+                self.assertEqual(list(self.node.fleet.all()), [])
