--- a/rhubarbhinge/peers/tests/telling.py
+++ b/rhubarbhinge/peers/tests/state_sharing.py
@@ -1,4 +1,4 @@
-"""A reader of the platform and entries that follow it, on real sockets."""
+"""A node that reads the platform and nodes that follow it, on real sockets."""
 
 import random
 
@@ -15,31 +15,31 @@
 from rhubarbhinge.web import HttpClient, HttpServer
 
 SHARDS, LATER_SHARDS, REPLICAS = 90, 135, 3
-"""Shards of a route, those of the next index, and searchers of each: a deployment of 60 VMs."""
-SILENT_MS = 300.0
-"""A call to a platform that is silent ends after so long."""
+"""Shards of a route, shards of its next index, and replicas of each, in a deployment of 60 VMs."""
+CALL_TIMEOUT_MS = 300.0
+"""Timeout of a call to an unresponsive platform."""
 ROUTES = 50
 """Routes of such a deployment, most of them searches."""
 
 
-class ToldSource:
-    """Published state that a test tells."""
+class ScriptedSource:
+    """Source of published state whose responses a test provides."""
 
     def __init__(self):
-        self.answer = None
+        self.callback = None
 
     def read_all(self, on_done, may_be_old=False) -> None:
-        self.answer = on_done
+        self.callback = on_done
 
     def wait_for_changes(self, after_revision, on_done) -> None:
-        self.answer = on_done
+        self.callback = on_done
 
 
-class SilentSource(ToldSource):
-    """Published state that a test tells once, and a platform that is silent from then on.
+class UnresponsiveSource(ScriptedSource):
+    """Source whose first response a test provides, and that does not respond from then on.
 
-    An entry whose reader did not answer in time asks the platform; a real one answers, or the call
-    ends with its timeout, after which the reader is asked again.
+    A node whose reader did not respond in time asks the platform. A real platform responds, or the
+    call times out, after which the reader is asked again.
 
     :param timers: the timer service.
     """
@@ -49,20 +49,20 @@
         self._timers = timers
 
     def read_all(self, on_done, may_be_old=False) -> None:
-        if self.answer is None:
-            self.answer = on_done
+        if self.callback is None:
+            self.callback = on_done
         else:
-            self._end(on_done)
+            self._time_out(on_done)
 
     def wait_for_changes(self, after_revision, on_done) -> None:
-        self._end(on_done)
+        self._time_out(on_done)
 
-    def _end(self, on_done) -> None:
-        self._timers.after(SILENT_MS, lambda: on_done(ReadFault("timeout")))
+    def _time_out(self, on_done) -> None:
+        self._timers.after(CALL_TIMEOUT_MS, lambda: on_done(ReadFault("timeout")))
 
 
-class OneReader:
-    """A membership in which others follow one reader.
+class SingleReaderMembership:
+    """Membership with a single reader for all others.
 
     :param reader: the reader; None for the reader's own.
     """
@@ -77,18 +77,18 @@
         return float("inf")
 
 
-class Reader:
-    """An entry that reads the platform, and tells others.
+class ReaderNode:
+    """A node that reads the platform and serves others.
 
     :param root: the tree of components.
     :param timers: the timer service.
     """
 
     def __init__(self, root: BaseComponent, timers: TimerService, seed: int = 1):
-        self.source = ToldSource()
+        self.source = ScriptedSource()
         fleet = Fleet(timers.now_ms, lambda observed: None)
         self.follower = Follower(timers, self.source, fleet, random.Random(seed), lambda plan: None)
-        service = StateService(timers, self.follower, OneReader(None), lambda: True)
+        service = StateService(timers, self.follower, SingleReaderMembership(None), lambda: True)
         self.server = HttpServer(timers, service.answer, ("127.0.0.1", 0)).register(root)
         self.follower.start()
 
@@ -96,13 +96,13 @@
     def port(self) -> int:
         return self.server.bound_port
 
-    def tell(self, state: Changes | Snapshot) -> None:
-        """Have the platform tell it something."""
-        self.source.answer(state)
+    def receive(self, state: Changes | Snapshot) -> None:
+        """Provide a response of the platform."""
+        self.source.callback(state)
 
 
-class FollowingEntry:
-    """An entry that follows a reader.
+class FollowerNode:
+    """A node that follows a reader.
 
     :param root: the tree of components.
     :param timers: the timer service.
@@ -110,12 +110,12 @@
     :param reader: the reader.
     """
 
-    def __init__(self, root: BaseComponent, timers: TimerService, name: str, reader: Reader):
-        self.store = SilentSource(timers)
+    def __init__(self, root: BaseComponent, timers: TimerService, name: str, reader: ReaderNode):
+        self.store = UnresponsiveSource(timers)
         client = HttpClient(timers, takes_gzip=True).register(root)
         self.source = SharedSource(timers, client, self.store, name, "hall-a", reader.port)
         self.source.know(
-            OneReader(Member("vm-1", "127.0.0.1", "hall-a", 1)),
+            SingleReaderMembership(Member("vm-1", "127.0.0.1", "hall-a", 1)),
             PeerReports(),
             lambda: KnownState.of(self.follower),
         )
@@ -123,22 +123,22 @@
         self.follower = Follower(timers, self.source, fleet, random.Random(1), lambda plan: None)
 
     def start(self, state: Snapshot) -> None:
-        """Read the platform once, as each entry does at its start, and follow from then on."""
+        """Read the platform once, as each node does at its start, then follow the reader."""
         self.follower.start()
-        self.store.answer(state)
+        self.store.callback(state)
 
-    def knows(self, other: Follower) -> bool:
-        """Tell whether it knows just what another one does."""
-        mine, others = self.follower.snapshot(), other.snapshot()
+    def has_same_state(self, other: Follower) -> bool:
+        """Check whether it has the same state as another node."""
+        own, others = self.follower.snapshot(), other.snapshot()
         return (
-            mine.revision == others.revision
-            and mine.plan == others.plan
-            and set(mine.searchers) == set(others.searchers)
+            own.revision == others.revision
+            and own.plan == others.plan
+            and set(own.searchers) == set(others.searchers)
         )
 
 
-def names(rng: random.Random, count: int) -> list[str]:
-    """Draw names of services, which compress no better than real ones."""
+def random_names(rng: random.Random, count: int) -> list[str]:
+    """Generate names of services that compress no better than real ones."""
     letters = "bdfghjklmnprstvwxyz"
     return [
         "".join(rng.choice(letters) + rng.choice("aeiou") for _ in range(2))
@@ -148,11 +148,11 @@
 
 
 def large_state(seed: int = 1) -> Snapshot:
-    """Make the published state of a deployment of 60 VMs."""
+    """Generate the published state of a deployment of 60 VMs."""
     rng = random.Random(seed)
-    shards, later = names(rng, SHARDS), names(rng, LATER_SHARDS)
-    services = {name: Service(name, "/health", 52) for name in shards + later}
-    hosts = [f"{name}.example" for name in names(rng, ROUTES)]
+    shards, later_shards = random_names(rng, SHARDS), random_names(rng, LATER_SHARDS)
+    services = {name: Service(name, "/health", 52) for name in shards + later_shards}
+    hosts = [f"{name}.example" for name in random_names(rng, ROUTES)]
     shard_set = ShardSet(tuple(shards), 50, 0.95)
     routes = tuple(
         Route(
@@ -167,18 +167,18 @@
             (),
             shard_set,
         )
-        for host, name in zip(hosts, names(rng, ROUTES), strict=True)
+        for host, name in zip(hosts, random_names(rng, ROUTES), strict=True)
     )
     searchers = tuple(
         Searcher(
             f"i-{rng.getrandbits(40):010x}",
             shard,
-            f"10.{place + 1}.64.{number}",
+            f"10.{domain_index + 1}.64.{number}",
             8_287,
-            f"hall-{'abc'[place]}",
+            f"hall-{'abc'[domain_index]}",
             2,
         )
         for number, shard in enumerate(shards)
-        for place in range(REPLICAS)
+        for domain_index in range(REPLICAS)
     )
     return Snapshot(at(100), ServingPlan(7, routes, services, CallerLimits()), searchers)
--- a/rhubarbhinge/peers/tests/test_state_codec.py
+++ b/rhubarbhinge/peers/tests/test_state_codec.py
@@ -1,4 +1,4 @@
-"""State that is handed on."""
+"""Encoding and decoding of the published state."""
 
 import random
 import unittest
@@ -40,7 +40,7 @@
 
 
 class StateTest(unittest.TestCase):
-    def test_state_reads_back(self):
+    def test_state_round_trip(self):
         routes = (
             Route("r", "a", "/x/", True, 1e3, 95.0, 2, 2, (), ShardSet(("s", "t"), 5, 0.75)),
             Route("q", "a", "/y/", False, 1e3, 9.0, 1, 2, (WeightedService("s", 0.5),)),
@@ -58,10 +58,10 @@
             Snapshot(at(9, 2), plan, (), 5.0),
             Changes(at(9, 2), by_peer=True),
         ):
-            told = decode_state(encode_state(state, "log", 4))
-            self.assertEqual(told, DecodedState(state, "log", 4))
+            decoded = decode_state(encode_state(state, "log", 4))
+            self.assertEqual(decoded, DecodedState(state, "log", 4))
 
-    def test_what_the_receiver_has_is_not_told_and_reads_back_all_the_same(self):
+    def test_parts_known_to_the_receiver_are_omitted(self):
         shards = ShardSet(tuple(f"shard-{n}" for n in range(90)), 5, 0.75)
         routes = tuple(
             Route(f"r{n}", "a", f"/{n}/", True, 1e3, 95.0, 2, 2, (), shards) for n in range(9)
@@ -72,28 +72,28 @@
         known = KnownState(base, searchers, "digest")
         for plan in (base, later):
             state = Snapshot(at(12), plan, searchers, 5.0, {"i-3": 700.0})
-            whole, short = (
+            full, compact = (
                 encode_state(state, "log", 4, base_plan, same)
                 for base_plan, same in ((None, False), (base, True))
             )
-            self.assertLess(10 * len(short), len(whole))
-            self.assertEqual(decode_state(short, known), DecodedState(state, "log", 4))
-            self.assertEqual(decode_state(whole, known), DecodedState(state, "log", 4))
+            self.assertLess(10 * len(compact), len(full))
+            self.assertEqual(decode_state(compact, known), DecodedState(state, "log", 4))
+            self.assertEqual(decode_state(full, known), DecodedState(state, "log", 4))
 
-    def test_a_release_before_evacuations_tells_nothing_of_them(self):
-        sent = orjson.loads(
+    def test_state_of_release_without_evacuations(self):
+        encoded = orjson.loads(
             encode_state(Snapshot(at(12), PLAN, (), evacuated=("hall-b",)), "log", 4)
         )
-        del sent["evacuated"], sent["evacuations"]
-        self.assertIsNone(decode_state(orjson.dumps(sent)).state.evacuated)
+        del encoded["evacuated"], encoded["evacuations"]
+        self.assertIsNone(decode_state(orjson.dumps(encoded)).state.evacuated)
 
-    def test_a_release_before_eras_tells_none_and_passes_over_them(self):
-        sent = orjson.loads(encode_state(Snapshot(at(12, 3), PLAN, ()), "log", 4))
-        self.assertEqual(sent["revision"], 12)
-        del sent["era"]
-        self.assertEqual(decode_state(orjson.dumps(sent)).state.revision, at(12))
+    def test_state_of_release_without_eras(self):
+        encoded = orjson.loads(encode_state(Snapshot(at(12, 3), PLAN, ()), "log", 4))
+        self.assertEqual(encoded["revision"], 12)
+        del encoded["era"]
+        self.assertEqual(decode_state(orjson.dumps(encoded)).state.revision, at(12))
 
-    def test_what_refers_to_a_configuration_that_the_receiver_lacks_is_a_coded_error(self):
+    def test_reference_to_an_unknown_plan_raises_state_error(self):
         base = ServingPlan(7, (), {}, CallerLimits())
         data = encode_state(Changes(at(13), replace(base, version=9)), "log", 4, base)
         for plan in (None, replace(base, version=8)):
@@ -101,41 +101,41 @@
                 decode_state(data, KnownState(plan))
 
     @given(st.binary(max_size=100))
-    def test_other_bytes_are_a_coded_error(self, data):
+    def test_arbitrary_bytes_raise_state_error(self, data):
         with self.assertRaises(StateError):
             decode_state(data)
 
-    def test_when_a_searcher_started_is_told_and_releases_before_pass_over_it(self):
-        told = decode_state(STATES[0]).state.searchers[0]
-        self.assertEqual(told, SEARCHER)
-        sent = orjson.loads(STATES[0])
-        del sent["searchers"][0]["started_unix_ms"]
-        told = decode_state(orjson.dumps(sent)).state.searchers[0]
-        self.assertEqual(told, replace(SEARCHER, started_unix_ms=None))
-        sent["searchers"][0]["of_a_later_release"] = 5
-        self.assertEqual(decode_state(orjson.dumps(sent)).state.searchers[0], told)
+    def test_start_time_of_searcher_is_optional(self):
+        decoded = decode_state(STATES[0]).state.searchers[0]
+        self.assertEqual(decoded, SEARCHER)
+        encoded = orjson.loads(STATES[0])
+        del encoded["searchers"][0]["started_unix_ms"]
+        decoded = decode_state(orjson.dumps(encoded)).state.searchers[0]
+        self.assertEqual(decoded, replace(SEARCHER, started_unix_ms=None))
+        encoded["searchers"][0]["of_a_later_release"] = 5
+        self.assertEqual(decode_state(orjson.dumps(encoded)).state.searchers[0], decoded)
 
     @FUZZ
     @given(JSON_VALUES | st.sampled_from(STATES).flatmap(lambda data: mutated(orjson.loads(data))))
-    def test_a_state_with_a_fault_is_one_that_can_be_held_or_a_coded_error(self, value):
+    def test_corrupted_state_is_usable_or_raises_state_error(self, value):
         try:
-            told = decode_state(msgspec.json.encode(value), KnownState(PLAN, (SEARCHER,), "d"))
+            decoded = decode_state(msgspec.json.encode(value), KnownState(PLAN, (SEARCHER,), "d"))
         except StateError:
             return
         timers = FakeTimers()
         fleet = Fleet(timers.now_ms, lambda observed: None)
-        follower = Follower(timers, _NoSource(), fleet, random.Random(1), _use)
+        follower = Follower(timers, _UnresponsiveSource(), fleet, random.Random(1), _exercise)
         follower.offer(Snapshot(at(5), PLAN, (SEARCHER,)))
-        if isinstance(told.state, Snapshot):
-            follower.offer(told.state)
+        if isinstance(decoded.state, Snapshot):
+            follower.offer(decoded.state)
         else:
-            follower._apply_changes(told.state)
+            follower._apply_changes(decoded.state)
         timers.advance(5_000.0)
         encode_state(follower.snapshot(), "log", 1)
 
 
-class _NoSource:
-    """A source that never answers."""
+class _UnresponsiveSource:
+    """A source that never responds."""
 
     def read_all(self, on_done) -> None:
         pass
@@ -144,7 +144,7 @@
         pass
 
 
-def _use(plan: ServingPlan) -> None:
+def _exercise(plan: ServingPlan) -> None:
     for route in plan.routes:
         plan.find(route.host, route.path_prefix)
         if route.shards is None:
--- a/rhubarbhinge/peers/tests/test_pulling.py
+++ b/rhubarbhinge/peers/tests/test_state_pull.py
@@ -1,4 +1,4 @@
-"""Taking state from a peer that is further, on a real socket for heartbeats."""
+"""Pulling state from a peer that is ahead, with a real socket for heartbeats."""
 
 import random
 import unittest
@@ -23,12 +23,12 @@
 from rhubarbhinge.web import Reply
 from standins.fleet import free_ports
 
-BEAT = Heartbeat("vm-2", "hall-b", 7, 0, False, False, at(51), 12.0, 0)
+HEARTBEAT = Heartbeat("vm-2", "hall-b", 7, 0, False, False, at(51), 12.0, 0)
 MEMBER = Member("vm-7", "127.0.0.7", "hall-b", 3)
 
 
 class FakeFollower:
-    """Knows revision 50, and takes what is offered."""
+    """Has revision 50, and accepts newer states."""
 
     def __init__(self):
         self.revision = at(50)
@@ -56,19 +56,19 @@
 
 class FakeClient:
     def __init__(self):
-        self.asked: list[str] = []
-        self.lists: list[str] = []
+        self.pulled_ips: list[str] = []
+        self.listed_ips: list[str] = []
 
     def call(self, ip, port, method, path, timeout_ms, on_done) -> None:
         if path == "/v1/members":
-            self.lists.append(ip)
+            self.listed_ips.append(ip)
             on_done(Reply(200, {}, encode_members([MEMBER])))
             return
-        self.asked.append(ip)
+        self.pulled_ips.append(ip)
         on_done(Reply(200, {}, encode_state(Snapshot(at(51), None, (), 5.0), "log", 1)))
 
 
-class PullingTest(unittest.TestCase):
+class StatePullTest(unittest.TestCase):
     def setUp(self):
         self.root = BaseComponent()
         timers = TimerService().register(self.root)
@@ -92,92 +92,92 @@
         ).register(self.root)
         self.addCleanup(stop_tree, self.root)
 
-    def hear(self, ip: str = "127.0.0.2", **changes: object) -> None:
-        beat = replace(BEAT, **changes)
-        self.peers._on_datagram(ip, self.port, encode_heartbeat(beat))
+    def receive(self, ip: str = "127.0.0.2", **changes: object) -> None:
+        heartbeat = replace(HEARTBEAT, **changes)
+        self.peers._on_datagram(ip, self.port, encode_heartbeat(heartbeat))
 
-    def test_the_first_that_is_heard_gives_its_list_of_entries(self):
-        self.hear()
-        self.hear(name="vm-3", ip="127.0.0.3")
-        self.assertEqual(self.client.lists, ["127.0.0.2"])
+    def test_members_are_fetched_from_the_first_sender(self):
+        self.receive()
+        self.receive(name="vm-3", ip="127.0.0.3")
+        self.assertEqual(self.client.listed_ips, ["127.0.0.2"])
         self.assertEqual(
             {member.name for member in self.peers.membership.live("hall-b")},
             {"vm-2", "vm-3", "vm-7"},
         )
 
-    def test_datagrams_that_are_no_heartbeats_change_nothing(self):
+    def test_invalid_datagrams_are_ignored(self):
         for data in (b"", b"[]", b'["vm-2"]', b"\xff" * 20_000):
             self.peers._on_datagram("127.0.0.9", self.port, data)
         self.assertEqual(self.peers.membership.processes(), 1)
 
-    def test_an_entry_whose_watch_is_silent_takes_what_a_peer_knows(self):
-        self.hear()
-        self.assertEqual(self.client.asked, [])
+    def test_node_that_stays_behind_pulls_from_peer(self):
+        self.receive()
+        self.assertEqual(self.client.pulled_ips, [])
         self.assertTrue(run_until(self.root, lambda: self.follower.revision == at(51)))
-        self.assertEqual(self.client.asked, ["127.0.0.2"])
+        self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
-    def test_one_that_is_told_meanwhile_asks_nobody(self):
-        self.hear()
+    def test_node_that_catches_up_does_not_pull(self):
+        self.receive()
         self.follower.revision = at(51)
-        self.hear(revision=at(51))
+        self.receive(revision=at(51))
         run_until(self.root, lambda: False, 1.0)
-        self.assertEqual(self.client.asked, [])
+        self.assertEqual(self.client.pulled_ips, [])
 
-    def test_one_whose_store_fails_does_not_wait(self):
+    def test_node_whose_reads_fail_pulls_at_once(self):
         self.follower.needs_peers = True
-        self.hear()
-        self.assertEqual(self.client.asked, ["127.0.0.2"])
+        self.receive()
+        self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
-    def test_a_peer_of_a_later_era_is_further_though_its_number_is_lower(self):
+    def test_peer_of_later_era_with_lower_number_is_ahead(self):
         self.follower.needs_peers = True
-        self.hear(revision=at(60), plan_version=0, age_ms=-1.0)
-        self.hear(revision=at(9, 1))
-        self.assertEqual(self.client.asked, ["127.0.0.2"])
+        self.receive(revision=at(60), plan_version=0, age_ms=-1.0)
+        self.receive(revision=at(9, 1))
+        self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
-    def test_a_peer_with_a_newer_configuration_alone_is_asked_for_it(self):
+    def test_peer_with_only_a_newer_plan_is_ahead(self):
         self.follower.needs_peers = True
-        self.hear(revision=at(50))
-        self.assertEqual(self.client.asked, [])
-        self.hear(revision=at(49), plan_version=3)
-        self.assertEqual(self.client.asked, ["127.0.0.2"])
+        self.receive(revision=at(50))
+        self.assertEqual(self.client.pulled_ips, [])
+        self.receive(revision=at(49), plan_version=3)
+        self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
-    def test_one_that_wants_all_once_more_asks_a_peer_that_is_just_as_far(self):
+    def test_node_that_needs_full_state_pulls_from_peer_at_same_revision(self):
         self.follower.needs_peers = True
-        self.hear(revision=at(50))
-        self.assertEqual(self.client.asked, [])
+        self.receive(revision=at(50))
+        self.assertEqual(self.client.pulled_ips, [])
         self.follower.needs_full_state = True
-        self.hear(revision=at(50), age_ms=-1.0)
-        self.assertEqual(self.client.asked, [])
-        self.hear(revision=at(50))
-        self.assertEqual(self.client.asked, ["127.0.0.2"])
+        self.receive(revision=at(50), age_ms=-1.0)
+        self.assertEqual(self.client.pulled_ips, [])
+        self.receive(revision=at(50))
+        self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
-    def test_a_peer_whose_state_nobody_has_confirmed_is_not_asked(self):
+    def test_peer_with_unconfirmed_state_is_not_asked(self):
         self.follower.needs_peers = True
-        self.hear(revision=at(60), age_ms=-1.0)
-        self.assertEqual(self.client.asked, [])
+        self.receive(revision=at(60), age_ms=-1.0)
+        self.assertEqual(self.client.pulled_ips, [])
 
-    def test_a_peer_of_the_same_domain_is_asked_first(self):
-        self.hear()
-        self.hear(name="vm-3", ip="127.0.0.3", failure_domain="hall-a")
-        self.assertTrue(run_until(self.root, lambda: self.client.asked))
-        self.assertEqual(self.client.asked, ["127.0.0.3"])
+    def test_peer_of_same_domain_is_preferred(self):
+        self.receive()
+        self.receive(name="vm-3", ip="127.0.0.3", failure_domain="hall-a")
+        self.assertTrue(run_until(self.root, lambda: self.client.pulled_ips))
+        self.assertEqual(self.client.pulled_ips, ["127.0.0.3"])
 
-    def test_what_a_heartbeat_carries_is_taken_and_passed_on_once(self):
-        told = ToldSuspicion("f" * 32, "search", 1, False, [1, 2, 3], 5.0)
+    def test_suspicions_of_a_heartbeat_are_forwarded_once(self):
+        suspicion = ToldSuspicion("f" * 32, "search", 1, False, [1, 2, 3], 5.0)
         sent: list[tuple[str, bytes]] = []
         self.peers._datagrams.send = lambda ip, port, data: sent.append((ip, data))
-        self.hear()
-        self.assertEqual(decode_heartbeat(encode_heartbeat(BEAT)).suspicions, ())
+        self.receive()
+        self.assertEqual(decode_heartbeat(encode_heartbeat(HEARTBEAT)).suspicions, ())
         del sent[:]
-        self.hear(suspicions=(told,))
+        self.receive(suspicions=(suspicion,))
         self.assertIsInstance(self.quarantine.verdict("f" * 32, "search"), Quarantined)
         self.assertTrue(sent)
         self.assertEqual(decode_heartbeat(sent[0][1]).suspicions[0].marks, [1, 2, 3])
         del sent[:]
-        self.hear(suspicions=(told,))
+        self.receive(suspicions=(suspicion,))
         self.assertEqual(sent, [])
 
-    def test_one_entry_of_a_fleet_tries_a_request_again(self):
-        self.hear()
-        mine = sum(self.peers.quarantine_news.may_try(f"{n:032x}") for n in range(400))
-        self.assertTrue(60 <= mine <= 200, mine)
+    def test_one_node_retries_each_suspected_request(self):
+        self.receive()
+        own = sum(self.peers.quarantine_news.may_try(f"{n:032x}") for n in range(400))
+        self.assertTrue(60 <= own <= 200, own)
--- a/rhubarbhinge/peers/tests/test_state_service.py
+++ b/rhubarbhinge/peers/tests/test_state_service.py
@@ -1,4 +1,4 @@
-"""What an entry answers at the port between entries, to whoever asks."""
+"""Responses of the state service to arbitrary requests."""
 
 import random
 import unittest
@@ -12,7 +12,7 @@
 from rhubarbhinge.peers._known_state import PLAN_PARAMETER, SEARCHERS_PARAMETER
 from rhubarbhinge.peers._paths import CHANGES_PATH, MEMBERS_PATH, STATE_PATH
 from rhubarbhinge.peers._state_service import StateService
-from rhubarbhinge.peers.tests.telling import ToldSource
+from rhubarbhinge.peers.tests.state_sharing import ScriptedSource
 from rhubarbhinge.plans import CallerLimits, ServingPlan
 from rhubarbhinge.published import Follower, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
@@ -29,7 +29,7 @@
 class StateServiceTest(unittest.TestCase):
     def setUp(self):
         self.timers = FakeTimers()
-        source = ToldSource()
+        source = ScriptedSource()
         fleet = Fleet(self.timers.now_ms, lambda observed: None)
         self.follower = Follower(self.timers, source, fleet, random.Random(1), lambda plan: None)
         membership = Membership(
@@ -43,29 +43,29 @@
         self.service = StateService(self.timers, self.follower, membership, lambda: True)
         self.follower.start()
         plan = ServingPlan(7, (), {}, CallerLimits())
-        source.answer(Snapshot(at(5), plan, (Searcher("i-1", "s", "10.0.0.9", 80, "hall-a", 2),)))
+        source.callback(Snapshot(at(5), plan, (Searcher("i-1", "s", "10.0.0.9", 80, "hall-a", 2),)))
 
-    def ask(self, path: str, query: dict[str, str]) -> Response:
-        answers: list[Response] = []
+    def get(self, path: str, query: dict[str, str]) -> Response:
+        responses: list[Response] = []
         request = Request("GET", path, query, {}, b"", "10.0.0.2", path, ())
-        self.service.answer(request, Responder(answers.append))
+        self.service.answer(request, Responder(responses.append))
         self.timers.advance(5_000.0)
-        (answer,) = answers
-        return answer
+        (response,) = responses
+        return response
 
     @FUZZ
     @given(
         st.sampled_from([STATE_PATH, CHANGES_PATH, MEMBERS_PATH, "/other"]),
         st.dictionaries(st.sampled_from(PARAMETERS), ODD_NUMBERS | st.text(max_size=6)),
     )
-    def test_any_query_is_answered(self, path, query):
-        answer = self.ask(path, query)
-        self.assertEqual(answer.status, 404 if path == "/other" else 200)
+    def test_any_query_gets_a_response(self, path, query):
+        response = self.get(path, query)
+        self.assertEqual(response.status, 404 if path == "/other" else 200)
         if path in (STATE_PATH, CHANGES_PATH):
-            self.assertEqual(decode_state(answer.body).state.revision, at(5))
+            self.assertEqual(decode_state(response.body).state.revision, at(5))
 
-    def test_who_is_at_the_newest_place_waits_and_is_told_that_nothing_changed(self):
+    def test_long_poll_at_latest_position_returns_no_changes(self):
         log = self.follower.log
         query = {"log": log.id, "after": str(log.position)}
-        told = decode_state(self.ask(CHANGES_PATH, query).body)
-        self.assertEqual((told.state.searchers, told.position), ((), log.position))
+        received = decode_state(self.get(CHANGES_PATH, query).body)
+        self.assertEqual((received.state.searchers, received.position), ((), log.position))
