--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.peers._paths import CHANGES_PATH, CHANGES_WAIT_MS, with_query
 from rhubarbhinge.peers._reports import PeerReports
 from rhubarbhinge.peers._state_codec import StateError, decode_state
-from rhubarbhinge.published import Changes, ReadFault, Snapshot, Source
+from rhubarbhinge.published import Changes, ReadFailure, Snapshot, Source
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.revision import Revision
@@ -43,16 +43,16 @@
 waiting at it. Otherwise each cut watch would send all nodes of the domain to the platform at
 once."""
 
-STALE_LIST = ReadFault("old-list", history_lost=True)
+STALE_LIST = ReadFailure("old-list", history_lost=True)
 """Reported when everything has to be listed again because the first list may have been stale."""
 
-RESYNC = ReadFault("settled", history_lost=True)
+RESYNC = ReadFailure("settled", history_lost=True)
 """Reported when everything has to be listed again because this node reads the platform and needs
 the full state."""
 ERA_CHANGED = "era-changed"
 """Code for a reader's response that is not used because another node reported a later era since."""
 
-OnOutcome = Callable[[Changes | Snapshot | ReadFault], None]
+OnOutcome = Callable[[Changes | Snapshot | ReadFailure], None]
 
 
 class _LogPosition(Struct, frozen=True):
@@ -141,7 +141,7 @@
         self._reports = reports
         self._known_state = known
 
-    def read_all(self, on_done: Callable[[Snapshot | ReadFault], None]) -> None:
+    def read_all(self, on_done: Callable[[Snapshot | ReadFailure], None]) -> None:
         """Read the full state from the platform; the first time it may be some seconds stale.
 
         :param on_done: called with the outcome.
@@ -153,7 +153,7 @@
         if is_first:
             self._started_ms = self._timers.now_ms()
 
-        def done(outcome: Snapshot | ReadFault) -> None:
+        def done(outcome: Snapshot | ReadFailure) -> None:
             self._on_platform_outcome(outcome)
             if isinstance(outcome, Snapshot):
                 self._is_full_state_requested = False
@@ -216,14 +216,14 @@
         self._is_reading = True
         self.platform_calls += 1
 
-        def done(outcome: Changes | ReadFault) -> None:
+        def done(outcome: Changes | ReadFailure) -> None:
             self._on_platform_outcome(outcome)
             on_done(outcome)
 
         self._store.wait_for_changes(after_revision, done)
 
-    def _on_platform_outcome(self, outcome: Changes | Snapshot | ReadFault) -> None:
-        self._is_failing = isinstance(outcome, ReadFault) and not outcome.history_lost
+    def _on_platform_outcome(self, outcome: Changes | Snapshot | ReadFailure) -> None:
+        self._is_failing = isinstance(outcome, ReadFailure) and not outcome.history_lost
         if not self._is_failing:
             self._reads_until_ms = inf
         elif outcome.cut:
--- a/rhubarbhinge/peers/tests/state_sharing.py
+++ b/rhubarbhinge/peers/tests/state_sharing.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.peers import KnownState, PeerReports, SharedSource
 from rhubarbhinge.peers._state_service import StateService
 from rhubarbhinge.plans import CallerLimits, Route, Service, ServingPlan, ShardSet
-from rhubarbhinge.published import Changes, Follower, ReadFault, Snapshot
+from rhubarbhinge.published import Changes, Follower, ReadFailure, Snapshot
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.testing_revisions import at
 from rhubarbhinge.web import HttpClient, HttpServer
@@ -58,7 +58,7 @@
         self._time_out(on_done)
 
     def _time_out(self, on_done) -> None:
-        self._timers.after(CALL_TIMEOUT_MS, lambda: on_done(ReadFault("timeout")))
+        self._timers.after(CALL_TIMEOUT_MS, lambda: on_done(ReadFailure("timeout")))
 
 
 class SingleReaderMembership:
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -7,7 +7,7 @@
 
 from rhubarbhinge.members import Member, Membership, MemberState, Published
 from rhubarbhinge.peers import KnownState, PeerReport, PeerReports, SharedSource, encode_state
-from rhubarbhinge.published import Changes, ReadFault, Snapshot
+from rhubarbhinge.published import Changes, ReadFailure, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import at
 from rhubarbhinge.web import Failure, Reply
@@ -19,7 +19,7 @@
     def __init__(self):
         self.revisions: list[int] = []
         self.stale_reads: list[bool] = []
-        self.outcome: Changes | ReadFault = Changes(at(50))
+        self.outcome: Changes | ReadFailure = Changes(at(50))
 
     def read_all(self, on_done, may_be_old=False) -> None:
         self.stale_reads.append(may_be_old)
@@ -187,7 +187,9 @@
         self.source.request_full_state()
         self.wait()
         self.timers.advance(0.0)
-        self.assertEqual((self.outcomes, self.store.revisions), ([ReadFault("settled", True)], []))
+        self.assertEqual(
+            (self.outcomes, self.store.revisions), ([ReadFailure("settled", True)], [])
+        )
         for _ in range(2):
             self.source.read_all(lambda outcome: None)
         self.timers.advance(3_100.0)
@@ -207,7 +209,7 @@
         self.assertNotIn("after=", self.client.paths[-1])
 
     def test_node_rejected_by_the_platform_asks_any_other_node(self):
-        self.store.outcome = ReadFault("status-503")
+        self.store.outcome = ReadFailure("status-503")
         self.receive_report(name="vm-9")
         self.wait()
         self.assertFalse(self.source.reads_platform)
@@ -257,7 +259,9 @@
 
     def assert_reads_platform(self) -> None:
         """Check that a possibly stale list is read again, and that changes are then awaited."""
-        self.assertEqual((self.outcomes, self.store.revisions), ([ReadFault("old-list", True)], []))
+        self.assertEqual(
+            (self.outcomes, self.store.revisions), ([ReadFailure("old-list", True)], [])
+        )
         self.source.read_all(self.outcomes.append)
         self.wait()
         self.assertEqual((self.store.stale_reads, self.store.revisions), ([True, False], [40]))
@@ -303,7 +307,7 @@
 
     def test_reader_whose_watch_is_cut_remains_reader_briefly(self):
         self.wait()
-        self.store.outcome = ReadFault("reset", cut=True)
+        self.store.outcome = ReadFailure("reset", cut=True)
         self.wait()
         self.assertTrue(self.source.reads_platform)
         self.timers.advance(900.0)
--- a/rhubarbhinge/published/__init__.py
+++ b/rhubarbhinge/published/__init__.py
@@ -4,7 +4,7 @@
 from rhubarbhinge.published._changes import Changes
 from rhubarbhinge.published._evacuation import Evacuation
 from rhubarbhinge.published._follower import Follower
-from rhubarbhinge.published._read_fault import ReadFault
+from rhubarbhinge.published._read_failure import ReadFailure
 from rhubarbhinge.published._snapshot import Snapshot
 from rhubarbhinge.published._source import Source
 from rhubarbhinge.published._unusable_entries import UnusableEntries
@@ -15,7 +15,7 @@
     "Changes",
     "Evacuation",
     "Follower",
-    "ReadFault",
+    "ReadFailure",
     "Snapshot",
     "Source",
     "UnusableEntries",
--- a/rhubarbhinge/published/_follower.py
+++ b/rhubarbhinge/published/_follower.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.published._evacuated_domains import EvacuatedDomains
 from rhubarbhinge.published._published_searchers import PublishedSearchers
 from rhubarbhinge.published._read_backoff import ReadBackoff
-from rhubarbhinge.published._read_fault import ReadFault
+from rhubarbhinge.published._read_failure import ReadFailure
 from rhubarbhinge.published._resync_timer import ResyncTimer
 from rhubarbhinge.published._revision_order import is_restore, may_replace
 from rhubarbhinge.published._snapshot import Snapshot
@@ -190,8 +190,8 @@
 
     # Reading.
 
-    def _on_list_result(self, outcome: Snapshot | ReadFault) -> None:
-        if isinstance(outcome, ReadFault):
+    def _on_list_result(self, outcome: Snapshot | ReadFailure) -> None:
+        if isinstance(outcome, ReadFailure):
             self._on_read_failure(outcome, self.start)
             return
         self._on_read_success(by_peer=False)
@@ -229,8 +229,8 @@
             self._source.request_full_state()
         self._source.wait_for_changes(after, lambda outcome: self._on_watch_result(outcome, after))
 
-    def _on_watch_result(self, outcome: Changes | Snapshot | ReadFault, after: Revision) -> None:
-        if isinstance(outcome, ReadFault):
+    def _on_watch_result(self, outcome: Changes | Snapshot | ReadFailure, after: Revision) -> None:
+        if isinstance(outcome, ReadFailure):
             if outcome.history_lost:
                 self._list_again(outcome.code)
             else:
@@ -251,7 +251,7 @@
         self._apply_changes(outcome)
         self._timers.after(0 if by_peer else WATCH_PAUSE_MS, self._watch)
 
-    def _on_read_failure(self, fault: ReadFault, retry: Callable[[], None]) -> None:
+    def _on_read_failure(self, fault: ReadFailure, retry: Callable[[], None]) -> None:
         if not self.needs_peers:
             revision = str(self.revision)
             log_event("platform-lost", level="warning", code=fault.code, revision=revision)
--- a/rhubarbhinge/published/_read_fault.py
+++ b/rhubarbhinge/published/_read_failure.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 
-class ReadFault(Struct, frozen=True):
+class ReadFailure(Struct, frozen=True):
     """Reason why a read of the published state failed.
 
     :param code: the cause, for logs.
--- a/rhubarbhinge/published/_source.py
+++ b/rhubarbhinge/published/_source.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from rhubarbhinge.published._changes import Changes
-from rhubarbhinge.published._read_fault import ReadFault
+from rhubarbhinge.published._read_failure import ReadFailure
 from rhubarbhinge.published._snapshot import Snapshot
 from rhubarbhinge.utils.revision import Revision
 
@@ -12,7 +12,7 @@
 class Source(Protocol):
     """Reads the published state; only one read may be pending at a time."""
 
-    def read_all(self, on_done: Callable[[Snapshot | ReadFault], None]) -> None:
+    def read_all(self, on_done: Callable[[Snapshot | ReadFailure], None]) -> None:
         """Read the full state. The first list may be some seconds stale, and then has no known age.
 
         :param on_done: called once with the outcome, after this method has returned.
@@ -22,7 +22,7 @@
         """Make the next wait return the full state, or the fault that it has to be listed."""
 
     def wait_for_changes(
-        self, after_revision: Revision, on_done: Callable[[Changes | Snapshot | ReadFault], None]
+        self, after_revision: Revision, on_done: Callable[[Changes | Snapshot | ReadFailure], None]
     ) -> None:
         """Wait for changes, for a limited time.
 
--- a/rhubarbhinge/published/tests/test_evacuations.py
+++ b/rhubarbhinge/published/tests/test_evacuations.py
@@ -5,7 +5,7 @@
 
 from rhubarbhinge.fleet import Fleet, Searcher
 from rhubarbhinge.plans import CallerLimits, ServingPlan
-from rhubarbhinge.published import Changes, Evacuation, Follower, ReadFault, Snapshot
+from rhubarbhinge.published import Changes, Evacuation, Follower, ReadFailure, Snapshot
 from rhubarbhinge.published.tests.fake_source import FakeSource
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import at
@@ -59,7 +59,7 @@
     def test_evacuation_persists_during_an_outage(self):
         self.respond_with_list(evacuated=("hall-b",))
         for _ in range(5):
-            self.source.respond(ReadFault("timeout"))
+            self.source.respond(ReadFailure("timeout"))
             self.timers.advance(1_400.0)
         self.assertEqual(self.usable_domains(), ["hall-a"])
 
@@ -90,7 +90,7 @@
             with self.subTest(after=after):
                 self.source, self.fleet, self.follower = self.make_follower()
                 self.respond_with_list(10, before)
-                self.source.respond(ReadFault("status-410", history_lost=True))
+                self.source.respond(ReadFailure("status-410", history_lost=True))
                 self.respond_with_list(20, after)
                 self.assertEqual(self.usable_domains(), expected)
 
--- a/rhubarbhinge/published/tests/test_follower.py
+++ b/rhubarbhinge/published/tests/test_follower.py
@@ -5,7 +5,7 @@
 
 from rhubarbhinge.fleet import Fleet, Searcher
 from rhubarbhinge.plans import CallerLimits, ServingPlan
-from rhubarbhinge.published import Changes, Follower, ReadFault, Snapshot
+from rhubarbhinge.published import Changes, Follower, ReadFailure, Snapshot
 from rhubarbhinge.published.tests.fake_source import FakeSource
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import at
@@ -44,7 +44,7 @@
         self.respond(Snapshot(at(10), plan(3), (searcher("i-1"), searcher("i-2"))))
 
     def fail_then_respond(self, outcome) -> None:
-        self.respond(ReadFault("timeout"))
+        self.respond(ReadFailure("timeout"))
         self.timers.advance(200.0)
         self.respond(outcome)
 
@@ -75,7 +75,7 @@
         self.assertEqual(self.follower.revision, at(10))
 
     def test_newer_state_of_peer_is_applied(self):
-        self.respond(ReadFault("status-503"))
+        self.respond(ReadFailure("status-503"))
         self.assertTrue(self.follower.needs_peers)
         self.follower.offer(Snapshot(at(15), plan(4), (searcher("i-9"),), 100.0))
         self.assertEqual((self.plans, self.known_incarnations()), ([4], ["i-9"]))
@@ -84,17 +84,17 @@
     def test_failed_read_keeps_state_and_is_retried_with_backoff(self):
         self.respond_with_list()
         for _ in range(6):
-            self.respond(ReadFault("timeout"))
+            self.respond(ReadFailure("timeout"))
             self.timers.advance(1_400.0)
         self.assertEqual(self.known_incarnations(), ["i-1", "i-2"])
         self.assertEqual(len(self.source.calls), 8)
-        self.respond(ReadFault("status-429", overloaded=True))
+        self.respond(ReadFailure("status-429", overloaded=True))
         self.timers.advance(300.0)
         self.assertEqual(len(self.source.calls), 8)
 
     def test_lost_history_is_listed_again_at_once(self):
         self.respond_with_list()
-        self.respond(ReadFault("status-410", history_lost=True))
+        self.respond(ReadFailure("status-410", history_lost=True))
         self.assertEqual(self.source.calls[-1], "all")
         self.respond(Snapshot(at(30), plan(4), (searcher("i-2"),)))
         self.assertEqual(self.known_incarnations(), ["i-2"])
@@ -107,7 +107,7 @@
                 if self.source.calls[-1] == "all":
                     self.respond(Snapshot(at(5), plan(4), (searcher("i-2"),)))
                 else:
-                    self.respond(ReadFault("status-410", history_lost=True))
+                    self.respond(ReadFailure("status-410", history_lost=True))
             self.timers.advance(50.0)
         # 10 s with delays of 100, 200, 400, 800 and 1,000 ms, each less up to 30%.
         self.assertLess(self.source.calls.count("all"), 20)
--- a/rhubarbhinge/published/tests/test_restore_schedules.py
+++ b/rhubarbhinge/published/tests/test_restore_schedules.py
@@ -20,7 +20,7 @@
 from rhubarbhinge.members import Member, Published
 from rhubarbhinge.peers import PeerReport
 from rhubarbhinge.plans import CallerLimits, ServingPlan
-from rhubarbhinge.published import Changes, Evacuation, Follower, ReadFault, Snapshot
+from rhubarbhinge.published import Changes, Evacuation, Follower, ReadFailure, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.revision import NO_REVISION, Revision
 
@@ -140,9 +140,9 @@
             evacuated=tuple(sorted(self.evacuated)),
         )
 
-    def watch(self, after: int) -> Changes | ReadFault:
+    def watch(self, after: int) -> Changes | ReadFailure:
         if not self.first_revision <= after <= self.number:
-            return ReadFault("status-410", history_lost=True)
+            return ReadFailure("status-410", history_lost=True)
         keys = {key for number, key in self.changes_by_revision if number > after}
         names = sorted(key.split()[1] for key in keys if key.startswith("searcher"))
         domains = sorted(key.split()[1] for key in keys if key.startswith("evacuated"))
@@ -166,7 +166,7 @@
         self.timers = timers
         self.name = f"vm-{number}"
         self.pending_revision: Revision | None = None
-        self.callback: Callable[[Changes | Snapshot | ReadFault], None] | None = None
+        self.callback: Callable[[Changes | Snapshot | ReadFailure], None] | None = None
         self.calls_ms: list[float] = []
         self.log_position: tuple[str, int, int] = ("", -1, 0)
         self.highest_seen = (0, NO_REVISION)
@@ -197,9 +197,9 @@
         version = self.follower.plan.version if self.follower.plan else 0
         return Published(self.follower.revision, self.follower.age_ms(), version)
 
-    def outcome(self, platform: Platform) -> Changes | Snapshot | ReadFault:
+    def outcome(self, platform: Platform) -> Changes | Snapshot | ReadFailure:
         if self.pending_revision is not None and self.needs_full_state:
-            return ReadFault("settled", history_lost=True)
+            return ReadFailure("settled", history_lost=True)
         if self.pending_revision is None:
             return platform.list_all(-1.0 if self.is_first_read else 0.0)
         return platform.watch(self.pending_revision.number)
@@ -360,7 +360,7 @@
             node.read(self.platform)
 
     def do_fail(self, number: int) -> None:
-        self.nodes[number % NODES].respond(ReadFault("timeout"))
+        self.nodes[number % NODES].respond(ReadFailure("timeout"))
 
     def do_delay_response(self, number: int) -> None:
         """Record a current response, to be delivered later."""
@@ -400,7 +400,7 @@
                 self.do_wait(0)
                 for number, node in enumerate(self.nodes):
                     if number in self.partitioned:
-                        node.respond(ReadFault("timeout"))
+                        node.respond(ReadFailure("timeout"))
                     else:
                         node.read(self.platform)
                     for peer in self.nodes:
--- a/rhubarbhinge/published/tests/test_restores.py
+++ b/rhubarbhinge/published/tests/test_restores.py
@@ -5,7 +5,7 @@
 
 from rhubarbhinge.fleet import Fleet, Searcher
 from rhubarbhinge.plans import CallerLimits, ServingPlan
-from rhubarbhinge.published import Changes, Evacuation, Follower, ReadFault, Snapshot
+from rhubarbhinge.published import Changes, Evacuation, Follower, ReadFailure, Snapshot
 from rhubarbhinge.published.tests.fake_source import FakeSource
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import at
@@ -16,7 +16,7 @@
 """A searcher that is still published after this time has written again."""
 RESYNC_DELAY_MS = 8_000.0
 """Time after a restore at which the full state is requested once more."""
-HISTORY_LOST = ReadFault("status-410", history_lost=True)
+HISTORY_LOST = ReadFailure("status-410", history_lost=True)
 
 
 def plan(version: int) -> ServingPlan:
@@ -102,7 +102,7 @@
         self.assertFalse(self.follower.is_current())
 
     def test_era_reported_only_by_peers_is_followed(self):
-        self.respond(ReadFault("timeout"))
+        self.respond(ReadFailure("timeout"))
         self.follower.offer(Snapshot(at(30, 2), plan(28), FIRST, 5.0, evacuated=()))
         self.assertEqual((self.follower.plan.version, self.follower.revision), (28, at(30, 2)))
         self.timers.advance(8_000.0)
--- a/rhubarbhinge/published/tests/test_starts.py
+++ b/rhubarbhinge/published/tests/test_starts.py
@@ -14,7 +14,7 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.fleet import Fleet, ObservedSearcher, Searcher
-from rhubarbhinge.published import Changes, Follower, ReadFault, Snapshot, UnusableEntry
+from rhubarbhinge.published import Changes, Follower, ReadFailure, Snapshot, UnusableEntry
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.revision import NO_REVISION, Revision
 from rhubarbhinge.utils.testing_revisions import at
@@ -56,9 +56,9 @@
         good = tuple(one for one in self.searchers.values() if one is not None)
         return Snapshot(at(self.revision), None, good, unusable=self._unusable(self.searchers))
 
-    def watch(self, after: int) -> Changes | ReadFault:
+    def watch(self, after: int) -> Changes | ReadFailure:
         if after < self.first_revision:
-            return ReadFault("status-410", history_lost=True)
+            return ReadFailure("status-410", history_lost=True)
         names = {name for revision, name in self.changes_by_revision if revision > after}
         good = tuple(
             self.searchers[name] for name in sorted(names) if self.searchers.get(name) is not None
@@ -110,7 +110,7 @@
         if kind == "all":
             self._respond(store.list_all())
         elif self.needs_full_state:
-            self._respond(ReadFault("settled", history_lost=True))
+            self._respond(ReadFailure("settled", history_lost=True))
         else:
             self._respond(store.watch(after.number))
 
@@ -123,7 +123,7 @@
         self._respond(state)
 
     def fail(self) -> None:
-        self._respond(ReadFault("timeout"))
+        self._respond(ReadFailure("timeout"))
 
     def _respond(self, outcome) -> None:
         callback, self.callback = self.callback, None
