--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -226,7 +226,7 @@
         self._is_failing = isinstance(outcome, ReadFailure) and not outcome.history_lost
         if not self._is_failing:
             self._reads_until_ms = inf
-        elif outcome.cut:
+        elif outcome.connection_lost:
             self._reads_until_ms = min(self._reads_until_ms, self._timers.now_ms() + CUT_GRACE_MS)
         else:
             self._reads_until_ms = -inf
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -307,7 +307,7 @@
 
     def test_reader_whose_watch_is_cut_remains_reader_briefly(self):
         self.wait()
-        self.store.outcome = ReadFailure("reset", cut=True)
+        self.store.outcome = ReadFailure("reset", connection_lost=True)
         self.wait()
         self.assertTrue(self.source.reads_platform)
         self.timers.advance(900.0)
