--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -28,7 +28,7 @@
 from rhubarbhinge.gateway._shutdown import Shutdown
 from rhubarbhinge.peers import KnownState, Peers, SharedSource
 from rhubarbhinge.plans import CallerLimits, ServingPlan
-from rhubarbhinge.published import Follower, Source
+from rhubarbhinge.published import Follower, StateSource
 from rhubarbhinge.quarantine import Quarantine
 from rhubarbhinge.retries import RetryBudget
 from rhubarbhinge.telemetry import EventLog, Metrics, log_event
@@ -55,7 +55,7 @@
 RELOAD_MS = 2_000.0
 """How often the settings are read again, as they may change without a signal."""
 
-MakeSource = Callable[[HttpClient, Callable[[], Address]], Source]
+MakeSource = Callable[[HttpClient, Callable[[], Address]], StateSource]
 """Makes a source from the client that it calls by and what gives the store's address."""
 
 
--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.peers._paths import CHANGES_PATH, CHANGES_WAIT_MS, with_query
 from rhubarbhinge.peers._reports import PeerReports
 from rhubarbhinge.peers._state_codec import StateError, decode_state
-from rhubarbhinge.published import Changes, ReadFailure, Snapshot, Source
+from rhubarbhinge.published import Changes, ReadFailure, Snapshot, StateSource
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.revision import Revision
@@ -94,7 +94,7 @@
         self,
         timers: TimerService,
         client: HttpClient,
-        store: Source,
+        store: StateSource,
         name: str,
         failure_domain: str,
         port: int,
--- a/rhubarbhinge/published/__init__.py
+++ b/rhubarbhinge/published/__init__.py
@@ -6,7 +6,7 @@
 from rhubarbhinge.published._follower import Follower
 from rhubarbhinge.published._read_failure import ReadFailure
 from rhubarbhinge.published._snapshot import Snapshot
-from rhubarbhinge.published._source import Source
+from rhubarbhinge.published._state_source import StateSource
 from rhubarbhinge.published._unusable_entries import UnusableEntries
 from rhubarbhinge.published._unusable_entry import UnusableEntry
 
@@ -17,7 +17,7 @@
     "Follower",
     "ReadFailure",
     "Snapshot",
-    "Source",
+    "StateSource",
     "UnusableEntries",
     "UnusableEntry",
 ]
--- a/rhubarbhinge/published/_follower.py
+++ b/rhubarbhinge/published/_follower.py
@@ -14,7 +14,7 @@
 from rhubarbhinge.published._resync_timer import ResyncTimer
 from rhubarbhinge.published._revision_order import is_restore, may_replace
 from rhubarbhinge.published._snapshot import Snapshot
-from rhubarbhinge.published._source import Source
+from rhubarbhinge.published._state_source import StateSource
 from rhubarbhinge.published._unusable_entries import UnusableEntries
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
@@ -48,7 +48,7 @@
     def __init__(
         self,
         timers: TimerService,
-        source: Source,
+        source: StateSource,
         fleet: Fleet,
         rng: random.Random,
         on_plan: Callable[[ServingPlan], None],
--- a/rhubarbhinge/published/_source.py
+++ b/rhubarbhinge/published/_state_source.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.utils.revision import Revision
 
 
-class Source(Protocol):
+class StateSource(Protocol):
     """Reads the published state; only one read may be pending at a time."""
 
     def read_all(self, on_done: Callable[[Snapshot | ReadFailure], None]) -> None:
