--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -120,8 +120,8 @@
         )
         quarantine = Quarantine(
             self.timers.now_ms,
-            lambda fingerprint: self._peers.quarantine_news.may_try(fingerprint),
-            lambda: self._peers.quarantine_news.tell(),
+            lambda fingerprint: self._peers.quarantine_gossip.may_try(fingerprint),
+            lambda: self._peers.quarantine_gossip.tell(),
             self._rng,
         )
         source = SharedSource(
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -25,7 +25,7 @@
 )
 from rhubarbhinge.gather import Gathered, Gathering, GatherTerms, NotEnough
 from rhubarbhinge.members import Member
-from rhubarbhinge.peers import QuarantineNews
+from rhubarbhinge.peers import QuarantineGossip
 from rhubarbhinge.quarantine import ONE_FIRST, Quarantine, Quarantined
 
 FATAL = "f" * 32
@@ -131,7 +131,7 @@
             lambda: self.news.tell(),
             rng,
         )
-        self.news = QuarantineNews(self.timers, ToldMembers(world, name), self.quarantine, rng)
+        self.news = QuarantineGossip(self.timers, ToldMembers(world, name), self.quarantine, rng)
         self.timers.after(world.rng.uniform(0.0, HEARTBEAT_MS), self._beat)
 
     def _send(self, exchange, tell) -> FatalAttempt:
--- a/rhubarbhinge/peers/__init__.py
+++ b/rhubarbhinge/peers/__init__.py
@@ -2,7 +2,7 @@
 
 from rhubarbhinge.peers._known_state import KnownState
 from rhubarbhinge.peers._peers import Peers
-from rhubarbhinge.peers._quarantine_news import QuarantineNews
+from rhubarbhinge.peers._quarantine_gossip import QuarantineGossip
 from rhubarbhinge.peers._reports import PeerReport, PeerReports
 from rhubarbhinge.peers._shared_source import SharedSource
 from rhubarbhinge.peers._state_codec import DecodedState, StateError, decode_state, encode_state
@@ -13,7 +13,7 @@
     "PeerReport",
     "PeerReports",
     "Peers",
-    "QuarantineNews",
+    "QuarantineGossip",
     "SharedSource",
     "StateError",
     "decode_state",
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -20,7 +20,7 @@
 from rhubarbhinge.net import Datagrams
 from rhubarbhinge.peers._paths import MEMBERS_PATH
 from rhubarbhinge.peers._published_status import published_status
-from rhubarbhinge.peers._quarantine_news import QuarantineNews
+from rhubarbhinge.peers._quarantine_gossip import QuarantineGossip
 from rhubarbhinge.peers._reports import PeerReport, PeerReports
 from rhubarbhinge.peers._state_pull import StatePull
 from rhubarbhinge.peers._state_service import StateService
@@ -58,7 +58,7 @@
     :raises OSError: when the port can not be bound.
     :ivar membership: the members of the fleet.
     :ivar reports: the members' latest reports on the published state.
-    :ivar quarantine_news: spreads suspicions about requests that crash searchers.
+    :ivar quarantine_gossip: spreads suspicions about requests that crash searchers.
     """
 
     channel = "peers"
@@ -88,7 +88,7 @@
         self.membership = Membership(
             timers, me, seed_ips, rng, self._send, lambda: published_status(follower)
         )
-        self.quarantine_news = QuarantineNews(timers, self.membership, quarantine, rng)
+        self.quarantine_gossip = QuarantineGossip(timers, self.membership, quarantine, rng)
         self._table_sync = TableSync(timers.now_ms, self._fetch_members)
         self._state_pull = StatePull(
             timers, client, follower, self.reports, port, failure_domain, rng
@@ -115,7 +115,7 @@
         self.membership.leave()
 
     def _send(self, ip: str, heartbeat: Heartbeat) -> None:
-        suspicions = self.quarantine_news.carried()
+        suspicions = self.quarantine_gossip.carried()
         if suspicions:
             heartbeat = replace(heartbeat, suspicions=suspicions)
         self._datagrams.send(ip, self._port, encode_heartbeat(heartbeat))
@@ -131,7 +131,7 @@
         if heartbeat.name == membership.me.name:
             return
         if heartbeat.suspicions:
-            self.quarantine_news.take(heartbeat.suspicions)
+            self.quarantine_gossip.take(heartbeat.suspicions)
         is_equal = heartbeat.members_digest == membership.digest
         self._table_sync.on_digest(ip, heartbeat.failure_domain, is_equal)
         revision, age_ms = heartbeat.revision, heartbeat.age_ms
--- a/rhubarbhinge/peers/_quarantine_news.py
+++ b/rhubarbhinge/peers/_quarantine_gossip.py
@@ -18,7 +18,7 @@
 second that has one."""
 
 
-class QuarantineNews:
+class QuarantineGossip:
     """Spreads suspicions about requests that crash searchers among the nodes.
 
     The caller of such a request retries within some milliseconds, at any node. New suspicions are
--- a/rhubarbhinge/peers/tests/test_state_pull.py
+++ b/rhubarbhinge/peers/tests/test_state_pull.py
@@ -179,5 +179,5 @@
 
     def test_one_node_retries_each_suspected_request(self):
         self.receive()
-        own = sum(self.peers.quarantine_news.may_try(f"{n:032x}") for n in range(400))
+        own = sum(self.peers.quarantine_gossip.may_try(f"{n:032x}") for n in range(400))
         self.assertTrue(60 <= own <= 200, own)
