--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -121,7 +121,7 @@
         quarantine = Quarantine(
             self.timers.now_ms,
             lambda fingerprint: self._peers.quarantine_gossip.may_try(fingerprint),
-            lambda: self._peers.quarantine_gossip.tell(),
+            lambda: self._peers.quarantine_gossip.announce(),
             self._rng,
         )
         source = SharedSource(
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -128,7 +128,7 @@
         self.quarantine = Quarantine(
             self.timers.now_ms,
             lambda fingerprint: self.news.may_try(fingerprint),
-            lambda: self.news.tell(),
+            lambda: self.news.announce(),
             rng,
         )
         self.news = QuarantineGossip(self.timers, ToldMembers(world, name), self.quarantine, rng)
@@ -213,12 +213,12 @@
         """Carry what one entry knows to another one, as a heartbeat does."""
         if self.rng.random() < self.datagram_loss:
             return
-        told = self.entries[sender].news.carried()
+        told = self.entries[sender].news.outgoing()
         delay_ms = self.rng.choice((0.5, 2.0, 2.0, 30.0))
 
         def arrive() -> None:
             other = self.entries[receiver]
-            other.timers.after(0.0, lambda: other.news.take(told))
+            other.timers.after(0.0, lambda: other.news.receive(told))
 
         self.timers.after(delay_ms, arrive)
 
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -115,7 +115,7 @@
         self.membership.leave()
 
     def _send(self, ip: str, heartbeat: Heartbeat) -> None:
-        suspicions = self.quarantine_gossip.carried()
+        suspicions = self.quarantine_gossip.outgoing()
         if suspicions:
             heartbeat = replace(heartbeat, suspicions=suspicions)
         self._datagrams.send(ip, self._port, encode_heartbeat(heartbeat))
@@ -131,7 +131,7 @@
         if heartbeat.name == membership.me.name:
             return
         if heartbeat.suspicions:
-            self.quarantine_gossip.take(heartbeat.suspicions)
+            self.quarantine_gossip.receive(heartbeat.suspicions)
         is_equal = heartbeat.members_digest == membership.digest
         self._table_sync.on_digest(ip, heartbeat.failure_domain, is_equal)
         revision, age_ms = heartbeat.revision, heartbeat.age_ms
--- a/rhubarbhinge/peers/_quarantine_gossip.py
+++ b/rhubarbhinge/peers/_quarantine_gossip.py
@@ -46,7 +46,7 @@
         self._last_round_ms = float("-inf")
         self._is_scheduled = False
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Send suspicions to peers now, or after ``MIN_INTERVAL_MS`` since the last round."""
         if self._is_scheduled:
             return
@@ -57,7 +57,7 @@
             self._is_scheduled = True
             self._timers.after(wait_ms, self._send_round)
 
-    def carried(self) -> tuple[ToldSuspicion, ...]:
+    def outgoing(self) -> tuple[ToldSuspicion, ...]:
         """Return the suspicions for one heartbeat, part of them chosen at random for each receiver.
 
         :returns: the suspicions.
@@ -65,14 +65,14 @@
         now_ms = self._timers.now_ms()
         return tuple(ToldSuspicion.of(known, now_ms) for known in self._quarantine.told())
 
-    def take(self, told: Iterable[ToldSuspicion]) -> None:
+    def receive(self, told: Iterable[ToldSuspicion]) -> None:
         """Process the suspicions of a heartbeat, and forward them if any was new.
 
         :param told: the suspicions.
         """
         now_ms = self._timers.now_ms()
         if self._quarantine.take([one.suspicion(now_ms) for one in told]):
-            self.tell()
+            self.announce()
 
     def may_try(self, fingerprint: str) -> bool:
         """Check whether this node is the one that tries a suspected request again.
