--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -283,7 +283,7 @@
 
     def _plan_changed(self, plan: ServingPlan) -> None:
         self._accept_callers()
-        self._peers.tell_plan()
+        self._peers.announce_plan()
         self._gateway.on_plan(plan)
         self._callers.limit(_limits(plan.limits))
         self._serving.check()
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -105,7 +105,7 @@
         """Bytes of published state and member lists sent to other nodes since the start."""
         return self._server.sent_bytes
 
-    def tell_plan(self) -> None:
+    def announce_plan(self) -> None:
         """Announce a new serving plan to peers at the end of this event loop iteration."""
         self._timers.after(0, self.membership.tell)
 
