--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -153,7 +153,7 @@
             quarantine,
         ).register(self)
         membership = self._peers.membership
-        source.know(membership, self._peers.reports, lambda: KnownState.of(self._follower))
+        source.set_peers(membership, self._peers.reports, lambda: KnownState.of(self._follower))
         self._cold_shares = ColdShares(
             self._follower, membership, lambda: self._settings.now.cold_rule, self.timers.now_ms
         )
--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -125,7 +125,7 @@
         """Whether this node reads the platform itself, with success except for brief failures."""
         return self._is_reading and self._timers.now_ms() < self._reads_until_ms
 
-    def know(
+    def set_peers(
         self,
         membership: Membership,
         reports: PeerReports,
--- a/rhubarbhinge/peers/tests/state_sharing.py
+++ b/rhubarbhinge/peers/tests/state_sharing.py
@@ -114,7 +114,7 @@
         self.store = UnresponsiveSource(timers)
         client = HttpClient(timers, takes_gzip=True).register(root)
         self.source = SharedSource(timers, client, self.store, name, "hall-a", reader.port)
-        self.source.know(
+        self.source.set_peers(
             SingleReaderMembership(Member("vm-1", "127.0.0.1", "hall-a", 1)),
             PeerReports(),
             lambda: KnownState.of(self.follower),
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -56,7 +56,7 @@
         )
         self.reports = PeerReports()
         self.source = SharedSource(self.timers, self.client, self.store, "vm-2", "hall-a", 7380)
-        self.source.know(self.membership, self.reports)
+        self.source.set_peers(self.membership, self.reports)
         self.outcomes = []
 
     def receive_report(self, age_ms: float = 12.0, **changes: object) -> None:
@@ -156,7 +156,7 @@
 
     def test_response_to_a_wait_from_a_former_era_is_not_used(self):
         known = [KnownState(revision=at(40, 1))]
-        self.source.know(self.membership, self.reports, lambda: known[-1])
+        self.source.set_peers(self.membership, self.reports, lambda: known[-1])
         self.receive_report()
         paths = self.client.paths
         self.client.on_call = lambda: known.append(KnownState(revision=at(30, 2)))
