--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -153,7 +153,9 @@
             quarantine,
         ).register(self)
         membership = self._peers.membership
-        source.set_peers(membership, self._peers.reports, lambda: KnownState.of(self._follower))
+        source.set_peers(
+            membership, self._peers.reports, lambda: KnownState.from_follower(self._follower)
+        )
         self._cold_shares = ColdShares(
             self._follower, membership, lambda: self._settings.now.cold_rule, self.timers.now_ms
         )
--- a/rhubarbhinge/peers/_known_state.py
+++ b/rhubarbhinge/peers/_known_state.py
@@ -28,7 +28,7 @@
     revision: Revision = NO_REVISION
 
     @classmethod
-    def of(cls, follower: Follower) -> "KnownState":
+    def from_follower(cls, follower: Follower) -> "KnownState":
         """Return the state that a follower has.
 
         :param follower: follows the published state.
--- a/rhubarbhinge/peers/_state_pull.py
+++ b/rhubarbhinge/peers/_state_pull.py
@@ -79,7 +79,7 @@
 
     def _pull(self, report: PeerReport) -> None:
         self._is_pulling = True
-        known = KnownState.of(self._follower)
+        known = KnownState.from_follower(self._follower)
         self._client.call(
             report.member.ip,
             self._port,
--- a/rhubarbhinge/peers/tests/state_sharing.py
+++ b/rhubarbhinge/peers/tests/state_sharing.py
@@ -117,7 +117,7 @@
         self.source.set_peers(
             SingleReaderMembership(Member("vm-1", "127.0.0.1", "hall-a", 1)),
             PeerReports(),
-            lambda: KnownState.of(self.follower),
+            lambda: KnownState.from_follower(self.follower),
         )
         fleet = Fleet(timers.now_ms, lambda observed: None)
         self.follower = Follower(timers, self.source, fleet, random.Random(1), lambda plan: None)
