--- a/rhubarbhinge/gateway/_figures.py
+++ b/rhubarbhinge/gateway/_figures.py
@@ -95,7 +95,7 @@
         metrics.show(READER_CALLS, self._source.reader_calls)
         metrics.show(STORE_ERA, self._follower.revision.era)
         metrics.show(UNUSABLE, len(self._follower.unusable))
-        metrics.show(UNUSABLE_FOUND, self._follower.unusable.found)
+        metrics.show(UNUSABLE_FOUND, self._follower.unusable.total_found)
         metrics.show(QUARANTINED, self._quarantine.convicted)
         metrics.show(QUARANTINE_REFUSED, self._quarantine.refused)
         for kind, total in self._link_use.totals().items():
--- a/rhubarbhinge/published/_unusable_entries.py
+++ b/rhubarbhinge/published/_unusable_entries.py
@@ -22,7 +22,7 @@
     """Keys whose values can't be used, with a log line for each cause.
 
     :param now_ms: returns the current time.
-    :ivar found: number of unusable values read since the start.
+    :ivar total_found: number of unusable values read since the start.
     """
 
     def __init__(self, now_ms: Callable[[], float]):
@@ -30,7 +30,7 @@
         self._cause_by_key: dict[str, str] = {}
         self._key_by_incarnation: dict[str, str] = {}
         self._logged_ms: dict[str, float] = {}
-        self.found = 0
+        self.total_found = 0
 
     def __len__(self) -> int:
         return len(self._cause_by_key)
@@ -64,7 +64,7 @@
     def _record(self, entries: Iterable[UnusableEntry], previous: dict[str, str]) -> None:
         new_keys: dict[str, list[str]] = {}
         for entry in entries:
-            self.found += 1
+            self.total_found += 1
             if len(self._cause_by_key) < MAX_KEYS:
                 self._cause_by_key[entry.key] = entry.cause
                 self._key_by_incarnation[entry.incarnation] = entry.key
