--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -160,7 +160,7 @@
             self._is_list_stale = is_first and isinstance(outcome, Snapshot)
             on_done(outcome)
 
-        self._store.read_all(done, may_be_old=is_first)
+        self._store.read_all(done, allow_stale=is_first)
 
     def request_full_state(self) -> None:
         """Make the next wait return the full state, or the fault that it has to be listed."""
--- a/rhubarbhinge/peers/tests/state_sharing.py
+++ b/rhubarbhinge/peers/tests/state_sharing.py
@@ -28,7 +28,7 @@
     def __init__(self):
         self.callback = None
 
-    def read_all(self, on_done, may_be_old=False) -> None:
+    def read_all(self, on_done, allow_stale=False) -> None:
         self.callback = on_done
 
     def wait_for_changes(self, after_revision, on_done) -> None:
@@ -48,7 +48,7 @@
         super().__init__()
         self._timers = timers
 
-    def read_all(self, on_done, may_be_old=False) -> None:
+    def read_all(self, on_done, allow_stale=False) -> None:
         if self.callback is None:
             self.callback = on_done
         else:
