--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -151,19 +151,19 @@
         )
 
     def _on_members_result(self, ip: str, outcome: Reply | Failure) -> None:
-        fault = ""
+        code = ""
         if isinstance(outcome, Failure):
-            fault = outcome.code
+            code = outcome.code
         elif outcome.status != 200:
-            fault = f"status-{outcome.status}"
+            code = f"status-{outcome.status}"
         else:
             try:
                 self.membership.on_members(decode_members(outcome.body))
             except MembersError as error:
-                fault = error.code
-        if fault:
-            log_event("members-not-fetched", level="warning", ip=ip, code=fault)
-        self._table_sync.fetched(not fault)
+                code = error.code
+        if code:
+            log_event("members-not-fetched", level="warning", ip=ip, code=code)
+        self._table_sync.fetched(not code)
 
     def _check_peers(self) -> None:
         self._state_pull.check()
--- a/rhubarbhinge/peers/_quarantine_gossip.py
+++ b/rhubarbhinge/peers/_quarantine_gossip.py
@@ -65,13 +65,13 @@
         now_ms = self._timers.now_ms()
         return tuple(ToldSuspicion.of(known, now_ms) for known in self._quarantine.told())
 
-    def receive(self, told: Iterable[ToldSuspicion]) -> None:
+    def receive(self, suspicions: Iterable[ToldSuspicion]) -> None:
         """Process the suspicions of a heartbeat, and forward them if any was new.
 
-        :param told: the suspicions.
+        :param suspicions: the suspicions.
         """
         now_ms = self._timers.now_ms()
-        if self._quarantine.take([one.suspicion(now_ms) for one in told]):
+        if self._quarantine.take([one.suspicion(now_ms) for one in suspicions]):
             self.announce()
 
     def may_try(self, fingerprint: str) -> bool:
--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -163,7 +163,7 @@
         self._store.read_all(done, allow_stale=is_first)
 
     def request_full_state(self) -> None:
-        """Make the next wait return the full state, or the fault that it has to be listed."""
+        """Make the next wait return the full state, or the failure that it has to be listed."""
         self._is_full_state_requested = True
 
     def wait_for_changes(self, after_revision: Revision, on_done: OnOutcome) -> None:
@@ -274,27 +274,27 @@
         known: KnownState,
         on_done: OnOutcome,
     ) -> None:
-        fault = _fault_code(outcome)
+        code = _failure_code(outcome)
         received = None
-        if not fault:
+        if not code:
             try:
                 received = decode_state(outcome.body, known)
             except StateError as error:
-                fault = error.code
+                code = error.code
         if (
             received is not None
             and received.state.revision < after_revision
             and not self._is_list_stale
         ):
-            fault = "behind"
+            code = "behind"
         current = self._known_state().revision
-        if not fault and current.era > after_revision.era:
+        if not code and current.era > after_revision.era:
             log_event("reader-not-followed", reader=reader.name, code=ERA_CHANGED)
             self._log_position = None
             self.wait_for_changes(current, on_done)
             return
-        if fault:
-            log_event("reader-failed", level="warning", reader=reader.name, code=fault)
+        if code:
+            log_event("reader-failed", level="warning", reader=reader.name, code=code)
             is_joining = self._is_joining()
             if isinstance(outcome, Failure) or not is_joining:
                 self._avoid_until_ms[reader.ip] = self._timers.now_ms() + READER_RETRY_MS
@@ -312,7 +312,7 @@
         on_done(received.state)
 
 
-def _fault_code(outcome: Reply | Failure) -> str:
+def _failure_code(outcome: Reply | Failure) -> str:
     if isinstance(outcome, Failure):
         return outcome.code
     return "" if outcome.status == 200 else f"status-{outcome.status}"
--- a/rhubarbhinge/peers/tests/test_state_transfer_size.py
+++ b/rhubarbhinge/peers/tests/test_state_transfer_size.py
@@ -3,9 +3,9 @@
 Guards against a reader that saturates its link by sending the full state to each follower. In an
 incident with 59 VMs, the reader of a failure domain sent a changed serving plan in full to each of
 eleven nodes, 590 KB in total, which filled its link of 8.4 Mbit/s for half a second. Its searches
-were delayed by 346 ms, its asks were given up as not taken, and six searches went to more searchers
-than allowed. After each new plan and each change of readers, readers sent ten times as much in a
-second as other VMs.
+were delayed by 346 ms, its delegated requests (asks) were given up as not taken, and six searches
+went to more searchers than allowed. After each new plan and each change of readers, readers sent
+ten times as much in a second as other VMs.
 """
 
 import unittest
@@ -22,7 +22,8 @@
 FOLLOWERS = 11
 """Nodes that follow the reader in a failure domain of twelve."""
 REQUEST_WAIT_MS = 30.0
-"""An ask that is not taken within this time is given up, so a transfer has to be shorter."""
+"""A delegated request that is not taken within this time is given up, so a transfer has to be
+shorter."""
 LINK_BYTES_PER_MS = 1_050.0
 """Capacity of the link of such a VM, 8.4 Mbit/s."""
 MAX_BYTES = int(REQUEST_WAIT_MS * LINK_BYTES_PER_MS)
--- a/rhubarbhinge/published/_follower.py
+++ b/rhubarbhinge/published/_follower.py
@@ -251,11 +251,11 @@
         self._apply_changes(outcome)
         self._timers.after(0 if by_peer else WATCH_PAUSE_MS, self._watch)
 
-    def _on_read_failure(self, fault: ReadFailure, retry: Callable[[], None]) -> None:
+    def _on_read_failure(self, failure: ReadFailure, retry: Callable[[], None]) -> None:
         if not self.needs_peers:
             revision = str(self.revision)
-            log_event("platform-lost", level="warning", code=fault.code, revision=revision)
-        self._timers.after(self._backoff.after_failure(fault.overloaded), retry)
+            log_event("platform-lost", level="warning", code=failure.code, revision=revision)
+        self._timers.after(self._backoff.after_failure(failure.overloaded), retry)
 
     def _list_again(self, code: str) -> None:
         """List the full state, as changes since the current revision are not available.
--- a/rhubarbhinge/published/_state_source.py
+++ b/rhubarbhinge/published/_state_source.py
@@ -19,7 +19,7 @@
         """
 
     def request_full_state(self) -> None:
-        """Make the next wait return the full state, or the fault that it has to be listed."""
+        """Make the next wait return the full state, or the failure that it has to be listed."""
 
     def wait_for_changes(
         self, after_revision: Revision, on_done: Callable[[Changes | Snapshot | ReadFailure], None]
