--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -36,8 +36,8 @@
 JOIN_POLL_MS = 50.0
 """Interval at which a starting node looks for the reader."""
 JOIN_RETRY_MS = 250.0
-"""Delay after a node that was asked does not read the platform yet. It may be about to; it is asked
-again, or a node with a lower name that was discovered meanwhile."""
+"""Delay before the next request when the node that was asked does not read the platform yet. It may
+be about to; it is asked again, or a node with a lower name that was discovered meanwhile."""
 CUT_GRACE_MS = 1_000.0
 """Time for which a node whose watch was cut still counts as reader, so that its followers keep
 waiting at it. Otherwise each cut watch would send all nodes of the domain to the platform at
--- a/rhubarbhinge/peers/tests/state_sharing.py
+++ b/rhubarbhinge/peers/tests/state_sharing.py
@@ -97,7 +97,7 @@
         return self.server.bound_port
 
     def receive(self, state: Changes | Snapshot) -> None:
-        """Provide a response of the platform."""
+        """Deliver a response of the platform."""
         self.source.callback(state)
 
 
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -17,7 +17,7 @@
 
 class FakeStore:
     def __init__(self):
-        self.revisions: list[int] = []
+        self.watched_revisions: list[int] = []
         self.stale_reads: list[bool] = []
         self.outcome: Changes | ReadFailure = Changes(at(50))
 
@@ -26,7 +26,7 @@
         on_done(Snapshot(at(40), None, ()))
 
     def wait_for_changes(self, after_revision, on_done) -> None:
-        self.revisions.append(after_revision.number)
+        self.watched_revisions.append(after_revision.number)
         on_done(self.outcome)
 
 
@@ -74,7 +74,7 @@
 class SharedSourceTest(SharedSourceCase):
     def test_single_node_reads_the_platform(self):
         self.wait()
-        self.assertEqual((self.store.revisions, self.client.paths), ([40], []))
+        self.assertEqual((self.store.watched_revisions, self.client.paths), ([40], []))
         self.assertTrue(self.source.reads_platform)
 
     def test_lowest_name_of_the_domain_reads_for_the_others(self):
@@ -85,7 +85,7 @@
         self.wait(41)
         path = "10.0.0.1/v1/published-changes"
         self.assertEqual(self.client.paths, [path, path + "?log=log&after=3"])
-        self.assertEqual((self.store.revisions, self.outcomes[1].removed), ([], ("i-1",)))
+        self.assertEqual((self.store.watched_revisions, self.outcomes[1].removed), ([], ("i-1",)))
         self.assertFalse(self.source.reads_platform)
 
     def test_other_nodes_are_not_readers(self):
@@ -106,7 +106,7 @@
                 self.receive_report(**changes)
             self.wait()
             with self.subTest(changes):
-                self.assertEqual((len(self.store.revisions), self.client.paths), (1, []))
+                self.assertEqual((len(self.store.watched_revisions), self.client.paths), (1, []))
 
     def test_member_without_report_is_reader_once_known_long_enough(self):
         self.membership.on_members([READER])
@@ -125,7 +125,7 @@
             self.wait()
             self.timers.advance(3_001.0)
             self.receive_report()
-        self.assertEqual((len(self.client.paths), len(self.store.revisions)), (3, 6))
+        self.assertEqual((len(self.client.paths), len(self.store.watched_revisions)), (3, 6))
 
     def test_reader_that_is_behind_is_not_followed(self):
         self.receive_report()
@@ -181,20 +181,20 @@
                 self.source.request_full_state()
             self.wait(41)
             self.assertEqual("after=" in self.client.paths[-1], after)
-        self.assertEqual(self.store.revisions, [])
+        self.assertEqual(self.store.watched_revisions, [])
 
     def test_full_state_is_listed_when_reading_the_platform(self):
         self.source.request_full_state()
         self.wait()
         self.timers.advance(0.0)
         self.assertEqual(
-            (self.outcomes, self.store.revisions), ([ReadFailure("settled", True)], [])
+            (self.outcomes, self.store.watched_revisions), ([ReadFailure("settled", True)], [])
         )
         for _ in range(2):
             self.source.read_all(lambda outcome: None)
         self.timers.advance(3_100.0)
         self.wait()
-        self.assertEqual(self.store.revisions, [40])
+        self.assertEqual(self.store.watched_revisions, [40])
 
     def test_log_position_is_reset_after_a_platform_call(self):
         self.receive_report()
@@ -245,7 +245,7 @@
         self.set_response(Snapshot(at(41), None, (), 5.0))
         self.receive_report()
         self.timers.advance(60.0)
-        self.assertEqual((self.store.revisions, len(self.client.paths)), ([], 1))
+        self.assertEqual((self.store.watched_revisions, len(self.client.paths)), ([], 1))
         self.assertEqual(self.outcomes[0].revision, at(41))
 
     def test_lowest_name_reads_after_discovery(self):
@@ -260,11 +260,13 @@
     def assert_reads_platform(self) -> None:
         """Check that a possibly stale list is read again, and that changes are then awaited."""
         self.assertEqual(
-            (self.outcomes, self.store.revisions), ([ReadFailure("old-list", True)], [])
+            (self.outcomes, self.store.watched_revisions), ([ReadFailure("old-list", True)], [])
         )
         self.source.read_all(self.outcomes.append)
         self.wait()
-        self.assertEqual((self.store.stale_reads, self.store.revisions), ([True, False], [40]))
+        self.assertEqual(
+            (self.store.stale_reads, self.store.watched_revisions), ([True, False], [40])
+        )
 
     def test_single_node_of_a_domain_reads_after_discovery(self):
         self.start()
@@ -278,9 +280,9 @@
         self.set_response(Snapshot(at(41), None, (), 5.0))
         self.wait()
         self.timers.advance(300.0)
-        self.assertEqual((self.store.revisions, self.client.paths), ([], []))
+        self.assertEqual((self.store.watched_revisions, self.client.paths), ([], []))
         self.timers.advance(200.0)
-        self.assertEqual((self.store.revisions, len(self.client.paths)), ([], 1))
+        self.assertEqual((self.store.watched_revisions, len(self.client.paths)), ([], 1))
 
     def test_reader_that_does_not_read_yet_is_asked_again(self):
         # When all 39 nodes of a domain start together, some learn late which has the lowest name.
@@ -293,7 +295,7 @@
         self.set_response(Snapshot(at(41), None, (), 5.0))
         self.timers.advance(300.0)
         self.assertEqual(
-            (self.store.revisions, [one.revision for one in self.outcomes]), ([], [at(41)])
+            (self.store.watched_revisions, [one.revision for one in self.outcomes]), ([], [at(41)])
         )
 
     def test_node_that_finds_no_reader_asks_the_platform_after_the_timeout(self):
--- a/rhubarbhinge/published/_published_searchers.py
+++ b/rhubarbhinge/published/_published_searchers.py
@@ -19,7 +19,7 @@
 MASS_LAPSE_SHARE = 0.1
 """When at least this number of entries, and this share of all, vanish with one response of the
 platform, their leases ran out during an outage that went unnoticed: searchers that leave do so one
-by one, or report before that they are draining."""
+by one, or report first that they are draining."""
 MASS_LAPSE_SILENCE_MS = 2_000.0
 """Entries count as a mass lapse only if the platform has sent nothing for this time; a lease runs
 longer."""
