--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -28,7 +28,7 @@
 from rhubarbhinge.gateway._warmup_limiter import WarmupLimiter
 from rhubarbhinge.peers import KnownState, Peers, SharedSource
 from rhubarbhinge.plans import CallerLimits, ServingPlan
-from rhubarbhinge.published import Follower, Source
+from rhubarbhinge.published import Follower, StateSource
 from rhubarbhinge.quarantine import Quarantine
 from rhubarbhinge.retries import RetryBudget
 from rhubarbhinge.telemetry import EventLog, Metrics, log_event
@@ -56,7 +56,7 @@
 RELOAD_MS = 2_000.0
 """Interval at which the settings are reloaded, as they may change without a signal."""
 
-MakeSource = Callable[[HttpClient, Callable[[], Address]], Source]
+MakeSource = Callable[[HttpClient, Callable[[], Address]], StateSource]
 """Creates a source from an HTTP client and a function that returns the store's address."""
 
 
@@ -121,8 +121,8 @@
         )
         quarantine = Quarantine(
             self.timers.now_ms,
-            lambda fingerprint: self._peers.quarantine_news.may_try(fingerprint),
-            lambda: self._peers.quarantine_news.tell(),
+            lambda fingerprint: self._peers.quarantine_gossip.may_try(fingerprint),
+            lambda: self._peers.quarantine_gossip.announce(),
             self._rng,
         )
         source = SharedSource(
@@ -154,7 +154,9 @@
             quarantine,
         ).register(self)
         membership = self._peers.membership
-        source.know(membership, self._peers.reports, lambda: KnownState.of(self._follower))
+        source.set_peers(
+            membership, self._peers.reports, lambda: KnownState.from_follower(self._follower)
+        )
         self._warmup_limiter = WarmupLimiter(
             self._follower, membership, lambda: self._settings.current.cold_rule, self.timers.now_ms
         )
@@ -286,7 +288,7 @@
 
     def _plan_changed(self, plan: ServingPlan) -> None:
         self._accept_callers()
-        self._peers.tell_plan()
+        self._peers.announce_plan()
         self._gateway.on_plan(plan)
         self._callers.limit(_limits(plan.limits))
         self._serving_state.update()
