--- a/rhubarbhinge/net/__init__.py
+++ b/rhubarbhinge/net/__init__.py
@@ -1,10 +1,10 @@
-"""Components that own sockets (TCP links and UDP datagrams), and frames on links."""
+"""TCP and UDP sockets as circuits components, and length-prefixed message frames."""
 
+from rhubarbhinge.net._close_reason import CloseReason
 from rhubarbhinge.net._datagrams import Datagrams
 from rhubarbhinge.net._frameerror import FrameError
 from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, frame
 from rhubarbhinge.net._links import DEFAULT_MAX_PENDING_BYTES, Links
-from rhubarbhinge.net._reason import CloseReason
 from rhubarbhinge.net._sockets import hand_over
 
 __all__ = [
--- a/rhubarbhinge/net/_datagrams.py
+++ b/rhubarbhinge/net/_datagrams.py
@@ -1,4 +1,4 @@
-"""One component that owns a UDP socket."""
+"""A circuits component that owns one UDP socket."""
 
 import itertools
 import socket
@@ -7,27 +7,29 @@
 from circuits import BaseComponent, handler
 
 from rhubarbhinge.net._poller import ReadyPoller
-from rhubarbhinge.net._ready import act_on_ready
+from rhubarbhinge.net._socket_callback import run_socket_callback
 from rhubarbhinge.net._sockets import datagram_socket
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.shared import shared_component
 
-DATAGRAM_BYTES = 64 * 1024
-"""Most bytes of one datagram."""
+MAX_DATAGRAM_BYTES = 64 * 1024
+"""Receive buffer size for one datagram."""
 
-DATAGRAMS_PER_TURN = 64
-"""Most datagrams read in one loop turn."""
+MAX_RECEIVES_PER_ITERATION = 64
+"""Maximum number of datagrams read in one event loop iteration."""
 
 _channels = itertools.count(1)
 
 
 class Datagrams(BaseComponent):
-    """Owns one UDP socket; what can not be sent at once is lost, as on the network.
+    """Sends and receives datagrams on one UDP socket.
 
-    :param on_datagram: called with the sender's IP address and port, and the bytes.
+    Datagrams that can't be sent immediately are dropped, as the network may do anyway.
+
+    :param on_datagram: called with the sender's IP address and port, and the payload.
     :param bind: IP address and port to bind.
-    :param channel: the circuits channel, unique by default.
-    :raises OSError: when the port can not be bound.
+    :param channel: the circuits channel; unique by default.
+    :raises OSError: if the port can't be bound.
     """
 
     def __init__(
@@ -45,15 +47,15 @@
 
     @property
     def bound_port(self) -> int:
-        """The port bound."""
+        """The local port number."""
         return self._port
 
     def send(self, ip: str, port: int, data: bytes) -> None:
-        """Send one datagram now.
+        """Send one datagram without blocking; errors are ignored.
 
-        :param ip: the receiver's IP address.
-        :param port: the receiver's port.
-        :param data: the bytes.
+        :param ip: IP address of the receiver.
+        :param port: port of the receiver.
+        :param data: the payload.
         """
         if self._sock is None:
             return
@@ -79,26 +81,26 @@
         self._sock = None
 
     def on_readable(self, sock) -> None:
-        """Read from a socket; called by the poller.
+        """Receive pending datagrams; called by the poller.
 
-        :param sock: the socket.
+        :param sock: the readable socket.
         """
         if self.root.running:
-            act_on_ready(self._timers, self._receive_all)
+            run_socket_callback(self._timers, self._receive_pending)
 
     @handler("_disconnect", "_error")
-    def _on_fault(self, sock, *_) -> None:
+    def _on_socket_error(self, sock, *_) -> None:
         if sock is self._sock:
             sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             self._poller.discard(sock)
             self._poller.addReader(self, sock)
 
-    def _receive_all(self) -> None:
-        for _ in range(DATAGRAMS_PER_TURN):
+    def _receive_pending(self) -> None:
+        for _ in range(MAX_RECEIVES_PER_ITERATION):
             if self._sock is None:
                 return
             try:
-                data, address = self._sock.recvfrom(DATAGRAM_BYTES)
+                data, address = self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
--- a/rhubarbhinge/net/_frameerror.py
+++ b/rhubarbhinge/net/_frameerror.py
@@ -1,11 +1,11 @@
-"""What is wrong with bytes from another node."""
+"""The error raised for invalid data received from another node."""
 
 
 class FrameError(Exception):
-    """Bytes that are no frame or no message; costs the link that carried them.
+    """Raised for data that is not a valid frame or message; the receiver closes the link.
 
     :param code: ``malformed``, ``oversized``, ``unsigned`` or ``wrong-receiver``.
-    :param message: one sentence.
+    :param message: one sentence for operators.
     """
 
     def __init__(self, code: str, message: str) -> None:
--- a/rhubarbhinge/net/_frames.py
+++ b/rhubarbhinge/net/_frames.py
@@ -2,28 +2,31 @@
 
 from rhubarbhinge.net._frameerror import FrameError
 
-#: Bytes of the length in front of each frame.
-LENGTH_BYTES = 4
-#: Largest frame: a document of the platform is at most 1 MB and travels in chunks far below.
+#: Size of the little-endian length prefix of each frame.
+LENGTH_PREFIX_BYTES = 4
+#: Maximum payload size; platform documents are at most 1 MB and are sent in much smaller chunks.
 MAX_FRAME_BYTES = 1024 * 1024
 
 
 def frame(data: bytes) -> bytes:
-    """Put the length in front of a message.
+    """Prefix a message with its length.
 
     :param data: an encoded message of at most :data:`MAX_FRAME_BYTES`.
     :returns: the frame.
-    :raises FrameError: with code ``oversized``.
+    :raises FrameError: with code ``oversized`` if the message is too long.
     """
     if len(data) > MAX_FRAME_BYTES:
-        raise FrameError("oversized", f"{len(data)} bytes in one message")
-    return len(data).to_bytes(LENGTH_BYTES, "little") + data
+        raise FrameError(
+            "oversized", f"a message of {len(data)} bytes exceeds the maximum frame size"
+        )
+    return len(data).to_bytes(LENGTH_PREFIX_BYTES, "little") + data
 
 
 class FrameSplitter:
-    """Cuts a byte stream into frames.
+    """Splits a byte stream into frames.
 
-    :param max_frame_bytes: a longer frame is refused before its bytes are kept.
+    :param max_frame_bytes: maximum payload size; a longer frame is rejected as soon as its length
+        prefix has been read, so that its payload is never buffered.
     """
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
@@ -31,32 +34,34 @@
         self._pending = bytearray()
 
     def allow_largest(self) -> None:
-        """Accept frames up to :data:`MAX_FRAME_BYTES`, once the other side is known."""
+        """Raise the limit to :data:`MAX_FRAME_BYTES`, after the peer has been authenticated."""
         self._max_frame_bytes = MAX_FRAME_BYTES
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes from the stream.
+        """Add bytes read from the stream.
 
-        :param data: what was read.
-        :returns: the payloads of the frames that are now whole.
+        :param data: the bytes.
+        :returns: the payloads of all frames completed by these bytes.
         :raises FrameError: with code ``oversized`` or ``malformed`` (an empty frame).
         """
         self._pending += data
         frames = []
         start = 0
-        while len(self._pending) - start >= LENGTH_BYTES:
-            head = start + LENGTH_BYTES
-            size = int.from_bytes(self._pending[start:head], "little")
-            self._check(size)
-            if len(self._pending) - head < size:
+        while len(self._pending) - start >= LENGTH_PREFIX_BYTES:
+            payload_start = start + LENGTH_PREFIX_BYTES
+            size = int.from_bytes(self._pending[start:payload_start], "little")
+            self._check_size(size)
+            if len(self._pending) - payload_start < size:
                 break
-            frames.append(bytes(self._pending[head : head + size]))
-            start = head + size
+            frames.append(bytes(self._pending[payload_start : payload_start + size]))
+            start = payload_start + size
         del self._pending[:start]
         return frames
 
-    def _check(self, size: int) -> None:
+    def _check_size(self, size: int) -> None:
         if size > self._max_frame_bytes:
-            raise FrameError("oversized", f"a frame of {size} bytes was announced")
+            raise FrameError(
+                "oversized", f"length prefix announces {size} bytes, above the maximum frame size"
+            )
         if size == 0:
-            raise FrameError("malformed", "an empty frame was announced")
+            raise FrameError("malformed", "length prefix announces an empty frame")
--- a/rhubarbhinge/net/_link.py
+++ b/rhubarbhinge/net/_link.py
@@ -5,40 +5,40 @@
 
 from rhubarbhinge.timing import Subscription
 
-BUFFERS_PER_SEND = 512
-"""Most buffers in one ``sendmsg``; Linux takes up to 1024 (``IOV_MAX``)."""
+MAX_BUFFERS_PER_SEND = 512
+"""Maximum number of buffers in one ``sendmsg`` call; Linux accepts up to 1024 (``IOV_MAX``)."""
 
 
 class LinkState(Enum):
-    """Where a connection stands."""
+    """Lifecycle states of a connection."""
 
     CONNECTING = auto()
     OPEN = auto()
     FLUSHING = auto()
-    """To be closed by this side once what is pending has been written."""
+    """Closed by this side as soon as all pending data has been written."""
     DRAINING = auto()
-    """Closed for writing; what still comes in is dropped until the peer closes too."""
+    """Shut down for writing; input is discarded until the peer closes its side."""
 
 
 class Link:
     """State of one TCP connection.
 
-    :param number: the link's number.
-    :param sock: its socket.
-    :param state: where it stands.
-    :param peer_ip: the peer's IP address.
+    :param number: number that identifies the link.
+    :param sock: the non-blocking socket.
+    :param state: the initial state.
+    :param peer_ip: IP address of the peer.
     """
 
     __slots__ = (
         "number",
         "sock",
         "state",
-        "takes_data",
+        "accepts_data",
         "peer_ip",
         "pending",
         "pending_bytes",
         "dirty",
-        "polled_for_write",
+        "watching_writable",
         "timer",
     )
 
@@ -46,34 +46,34 @@
         self.number = number
         self.sock = sock
         self.state = state
-        self.takes_data = True
+        self.accepts_data = True
         self.peer_ip = peer_ip
         self.pending: list[bytes | memoryview] = []
         self.pending_bytes = 0
         self.dirty = False
-        self.polled_for_write = False
+        self.watching_writable = False
         self.timer: Subscription | None = None
 
-    def write_some(self) -> bool:
-        """Give the kernel what it takes of what is pending.
+    def write_pending(self) -> bool:
+        """Write as much pending data as the kernel accepts.
 
-        :returns: whether it took all that was offered.
-        :raises OSError: when it took nothing.
+        :returns: whether the kernel accepted everything offered in this call.
+        :raises OSError: if nothing could be written.
         """
         if len(self.pending) == 1:
             offered_bytes = len(self.pending[0])
             written_bytes = self.sock.send(self.pending[0])
         else:
-            buffers = self.pending[:BUFFERS_PER_SEND]
+            buffers = self.pending[:MAX_BUFFERS_PER_SEND]
             offered_bytes = sum(map(len, buffers))
             written_bytes = self.sock.sendmsg(buffers)
-        self.drop_written(written_bytes)
+        self.discard_written(written_bytes)
         return written_bytes == offered_bytes
 
-    def drop_written(self, written_bytes: int) -> None:
-        """Forget bytes that the kernel has taken.
+    def discard_written(self, written_bytes: int) -> None:
+        """Remove bytes that the kernel has accepted from the pending data.
 
-        :param written_bytes: how many, from the start of what is pending.
+        :param written_bytes: number of bytes to remove from the start.
         """
         self.pending_bytes -= written_bytes
         if not self.pending_bytes:
--- a/rhubarbhinge/net/_links.py
+++ b/rhubarbhinge/net/_links.py
@@ -1,4 +1,4 @@
-"""One component that owns many TCP connections."""
+"""A circuits component that owns many TCP connections."""
 
 import errno
 import itertools
@@ -7,40 +7,40 @@
 
 from circuits import BaseComponent, handler
 
+from rhubarbhinge.net._close_reason import CloseReason
 from rhubarbhinge.net._link import Link, LinkState
 from rhubarbhinge.net._listener import Listener
+from rhubarbhinge.net._loop_hooks import LoopHooks
 from rhubarbhinge.net._poller import ReadyPoller
-from rhubarbhinge.net._ready import act_on_ready
-from rhubarbhinge.net._reason import CloseReason
+from rhubarbhinge.net._socket_callback import run_socket_callback
 from rhubarbhinge.net._sockets import (
-    connect_error,
     connecting_socket,
     is_self_connected,
     round_trip_ms,
+    take_socket_error,
 )
-from rhubarbhinge.net._turns import Turns
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.shared import shared_component
 
 DEFAULT_MAX_PENDING_BYTES = 8 * 1024 * 1024
-"""Bytes pending to one peer above which the link is closed."""
+"""Default limit of unsent bytes for one link; the link is closed when it is exceeded."""
 
-RECEIVE_BYTES = 64 * 1024
-"""Most bytes read from a link in one loop turn."""
+MAX_RECEIVE_BYTES = 64 * 1024
+"""Maximum number of bytes read from a link in one event loop iteration."""
 
-FLUSH_BOUND_MS = 30_000.0
-"""Longest that a close waits for what is pending to be written, in milliseconds."""
+FLUSH_TIMEOUT_MS = 30_000.0
+"""Maximum time, in milliseconds, that closing a link waits for pending data to be written."""
 
-LINGER_BOUND_MS = 2_000.0
-"""Longest that a close then waits for the peer's close, in milliseconds.
+LINGER_TIMEOUT_MS = 2_000.0
+"""Maximum time, in milliseconds, that a flushed link then waits for the peer to close.
 
-Closing at once while the peer still sends would reset the connection and might destroy what it
-has not read yet (RFC 9112, 9.6).
+Closing immediately while the peer still sends would reset the connection, which may discard data
+that the peer has not read yet (RFC 9112, section 9.6).
 """
 
-_AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
+_RETRYABLE_ERRORS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
 _CONNECT_STARTED = (0, errno.EINPROGRESS)
-_CONNECT_FAULTS = {
+_CONNECT_ERROR_REASONS = {
     errno.ECONNREFUSED: CloseReason.REFUSED,
     errno.ETIMEDOUT: CloseReason.CONNECT_TIMEOUT,
 }
@@ -48,21 +48,22 @@
 
 
 class Links(BaseComponent):
-    """Owns TCP connections, inbound and outbound, and hands their data to plain callbacks.
+    """Manages inbound and outbound TCP connections and passes received data to callbacks.
 
-    Callbacks run in the loop's thread and never from inside a method of this class. A peer that
-    closes its sending side counts as gone. Addresses are IPv4. The tree's poller and timer service
-    are used; a tree that has its own registers them first.
+    Callbacks run in the event loop's thread and never from within a method of this class. A peer
+    that shuts down its sending side is treated as closed. Only IPv4 addresses are supported. The
+    component uses the poller and the timer service of its component tree, and registers default
+    ones if the tree has none yet.
 
     :param on_open: called with the link and whether it is inbound.
     :param on_data: called with the link and the bytes read.
-    :param on_close: called once for each link, with the link and a :class:`CloseReason`.
-    :param bind: IP address and port to listen at, None to only make connections.
-    :param max_pending_bytes: bytes pending to a peer above which its link is closed.
-    :param notice_silence: whether links that it opens end when the peer's host is silent.
-    :param channel: the circuits channel, unique by default.
-    :raises OSError: when the port can not be bound.
-    :ivar sent_bytes: bytes handed over to be sent since the start.
+    :param on_close: called exactly once for each link, with the link and a :class:`CloseReason`.
+    :param bind: IP address and port to listen on; None for outbound connections only.
+    :param max_pending_bytes: limit of unsent bytes for one link; exceeding it closes the link.
+    :param notice_silence: whether outbound links are closed when the peer's host stops responding.
+    :param channel: the circuits channel; unique by default.
+    :raises OSError: if the port can't be bound.
+    :ivar sent_bytes: total number of bytes passed to :meth:`send`.
     """
 
     def __init__(
@@ -86,153 +87,156 @@
         self._links: dict[int, Link] = {}
         self._by_sock: dict[socket.socket, Link] = {}
         self._dirty: list[Link] = []
-        self._ended: list[tuple[int, CloseReason]] = []
+        self._pending_closes: list[tuple[int, CloseReason]] = []
         self._poller: ReadyPoller | None = None
-        self._turns: Turns | None = None
+        self._loop_hooks: LoopHooks | None = None
         self._timers: TimerService | None = None
         self._listener = None if bind is None else Listener(bind)
 
     @property
     def bound_port(self) -> int:
-        """The port listened at, 0 when made without one."""
+        """The port listened on; 0 if the component doesn't listen."""
         return 0 if self._listener is None else self._listener.port
 
     def open(self, ip: str, port: int, timeout_ms: float) -> int:
-        """Start a connection; ``on_open`` or ``on_close`` is called later.
+        """Start connecting; ``on_open`` or ``on_close`` is called later.
 
-        :param ip: the peer's IP address.
-        :param port: the peer's port.
-        :param timeout_ms: longest that the connection may take, in milliseconds.
+        :param ip: IP address of the peer.
+        :param port: port of the peer.
+        :param timeout_ms: connect timeout in milliseconds.
         :returns: the link.
         """
         self._attach()
         number = next(self._numbers)
         try:
-            sock, fault = connecting_socket(ip, port, self._notice_silence)
+            sock, error_code = connecting_socket(ip, port, self._notice_silence)
         except OSError:
-            self._note_ended(number, CloseReason.UNREACHABLE)
+            self._queue_close_notice(number, CloseReason.UNREACHABLE)
             return number
         link = self._add(number, sock, LinkState.CONNECTING, ip)
-        if fault not in _CONNECT_STARTED:
-            self._end(link, _CONNECT_FAULTS.get(fault, CloseReason.UNREACHABLE))
+        if error_code not in _CONNECT_STARTED:
+            self._terminate(link, _CONNECT_ERROR_REASONS.get(error_code, CloseReason.UNREACHABLE))
             return number
-        self._poll_for_write(link)
-        self._end_after(link, timeout_ms, CloseReason.CONNECT_TIMEOUT)
+        self._watch_writable(link)
+        self._terminate_after(link, timeout_ms, CloseReason.CONNECT_TIMEOUT)
         return number
 
     def send(self, link: int, data: bytes) -> None:
-        """Send bytes at the end of this loop turn; nothing happens if the link is closed.
+        """Queue bytes, to be written at the end of this event loop iteration.
+
+        Bytes for a closed link are dropped.
 
         :param link: the link.
         :param data: the bytes.
         """
         found = self._links.get(link)
-        if found is None or not found.takes_data:
+        if found is None or not found.accepts_data:
             return
         found.pending.append(data)
         found.pending_bytes += len(data)
         self.sent_bytes += len(data)
         if found.pending_bytes > self._max_pending_bytes:
-            self._end(found, CloseReason.OVERFLOW)
+            self._terminate(found, CloseReason.OVERFLOW)
         elif not found.dirty:
-            self._note_dirty(found)
+            self._mark_dirty(found)
 
     def flush(self, link: int) -> None:
-        """Write what is pending on a link now, not at the end of the next loop turn.
+        """Write a link's pending data now rather than at the end of the next event loop iteration.
 
-        That turn runs due timers first, and what is read together with this, which may take long.
+        That iteration first runs due timers and reads other sockets, which may take long.
 
         :param link: the link.
         """
         found = self._links.get(link)
-        if found is not None and not found.polled_for_write:
+        if found is not None and not found.watching_writable:
             self._flush(found)
 
     def close(self, link: int) -> None:
-        """Close a link after what is pending has been written, within a bound.
+        """Close a link after its pending data has been written, or after a timeout.
 
         :param link: the link.
         """
         found = self._links.get(link)
-        if found is None or not found.takes_data:
+        if found is None or not found.accepts_data:
             return
-        found.takes_data = False
+        found.accepts_data = False
         if found.state is LinkState.CONNECTING:
-            self._end(found, CloseReason.LOCAL)
+            self._terminate(found, CloseReason.LOCAL)
             return
         found.state = LinkState.FLUSHING
-        self._end_after(found, FLUSH_BOUND_MS, CloseReason.LOCAL)
+        self._terminate_after(found, FLUSH_TIMEOUT_MS, CloseReason.LOCAL)
         if not found.dirty:
-            self._note_dirty(found)
+            self._mark_dirty(found)
 
     def abort(self, link: int) -> None:
-        """Close a link at once; what is pending is dropped.
+        """Close a link immediately; pending data is discarded.
 
         :param link: the link.
         """
         found = self._links.get(link)
         if found is not None:
-            self._end(found, CloseReason.LOCAL)
+            self._terminate(found, CloseReason.LOCAL)
 
     def stop_listening(self) -> None:
-        """Accept no more connections but those that wait for it; those that are open stay.
+        """Stop accepting connections; established ones, and those already in the backlog, are kept.
 
-        Closing would reset what the kernel holds for the listener, and with it requests that were
-        sent before the stop.
+        Closing the listening socket resets connections that are still in its backlog, including
+        requests that clients have already sent on them, so the backlog is accepted first.
         """
         if self._listener is None:
             return
         if self._timers is not None and self.root.running:
-            last = list(self._listener.accept_all())
-            self._timers.after(0, lambda: self._take(last))
+            accepted = list(self._listener.accept_pending())
+            self._timers.after(0, lambda: self._add_accepted(accepted))
         self._listener.close()
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes sent on all links that the kernel has not taken yet."""
+        """Number of bytes, over all links, that the kernel has not accepted yet."""
         return sum(link.pending_bytes for link in self._links.values())
 
     def unsent_bytes(self, link: int) -> int:
-        """Tell how much of what was sent on a link the kernel has not taken yet.
+        """Return the number of bytes sent on a link that the kernel has not accepted yet.
 
         :param link: the link.
-        :returns: the bytes; 0 when the link is closed.
+        :returns: the number of bytes; 0 if the link is closed.
         """
         found = self._links.get(link)
         return 0 if found is None else found.pending_bytes
 
     def is_quiet(self, link: int) -> bool:
-        """Tell whether a link is open and has neither data nor its end waiting to be read.
+        """Return whether a link is open and has neither unread data nor an unread end of stream.
 
         :param link: the link.
-        :returns: whether nothing has come in that ``on_data`` or ``on_close`` has not told.
+        :returns: whether ``on_data`` or ``on_close`` has reported everything received so far.
         """
         found = self._links.get(link)
         return found is not None and found.state is LinkState.OPEN and _peek(found) is None
 
-    def has_ended(self, link: int) -> bool:
-        """Tell whether the peer's end of a link is next, which ``on_close`` has not told yet.
+    def has_peer_closed(self, link: int) -> bool:
+        """Return whether the peer has closed a link, even if ``on_close`` has not been called yet.
 
         :param link: the link.
-        :returns: whether it has closed or reset the connection and all its data has been read.
+        :returns: whether the peer has closed or reset the connection and all its data has been
+            read.
         """
         found = self._links.get(link)
         return found is None or _peek(found) == b""
 
     def peer_ip(self, link: int) -> str:
-        """Tell the IP address of a link's peer.
+        """Return the IP address of a link's peer.
 
         :param link: the link.
-        :returns: the address, empty when the link is closed.
+        :returns: the address; empty if the link is closed.
         """
         found = self._links.get(link)
         return "" if found is None else found.peer_ip
 
     def round_trip_ms(self, link: int) -> float:
-        """Tell how long a round trip to a link's peer takes.
+        """Return the round-trip time of a link.
 
         :param link: the link.
-        :returns: the time, 0 when it is not known.
+        :returns: the time in milliseconds; 0 if it is unknown.
         """
         found = self._links.get(link)
         return 0.0 if found is None else round_trip_ms(found.sock)
@@ -246,68 +250,68 @@
     def _on_stopped(self, manager) -> None:
         self.stop_listening()
         for link in list(self._links.values()):
-            self._forget(link)
+            self._release(link)
 
     def on_readable(self, sock) -> None:
         """Read from a socket; called by the poller.
 
-        :param sock: the socket.
+        :param sock: the readable socket.
         """
         if self.root.running:
-            act_on_ready(self._timers, self._read, sock)
+            run_socket_callback(self._timers, self._handle_readable, sock)
 
     def on_writable(self, sock) -> None:
         """Write to a socket; called by the poller.
 
-        :param sock: the socket.
+        :param sock: the writable socket.
         """
         link = self._by_sock.get(sock)
         if link is not None and self.root.running:
-            act_on_ready(self._timers, self._write, link)
+            run_socket_callback(self._timers, self._handle_writable, link)
 
     @handler("_disconnect", "_error")
-    def _on_broken(self, sock, *_) -> None:
+    def _on_socket_error(self, sock, *_) -> None:
         link = self._by_sock.get(sock)
         if link is not None:
-            self._broken(link, connect_error(sock))
+            self._handle_socket_error(link, take_socket_error(sock))
 
-    def _notify(self) -> None:
-        ended, self._ended = self._ended, []
+    def _report_closes(self) -> None:
+        ended, self._pending_closes = self._pending_closes, []
         for number, reason in ended:
             self._on_close(number, reason)
 
-    def _flush_dirty(self) -> None:
+    def _flush_dirty_links(self) -> None:
         dirty, self._dirty = self._dirty, []
         self._flush_all(dirty)
 
-    def _note_ended(self, number: int, reason: CloseReason) -> None:
-        if not self._ended:
-            self._turns.notify_soon(self._notify)
-        self._ended.append((number, reason))
+    def _queue_close_notice(self, number: int, reason: CloseReason) -> None:
+        if not self._pending_closes:
+            self._loop_hooks.notify_next_iteration(self._report_closes)
+        self._pending_closes.append((number, reason))
 
-    def _note_dirty(self, link: Link) -> None:
+    def _mark_dirty(self, link: Link) -> None:
         link.dirty = True
         if not self._dirty:
-            self._turns.flush_soon(self._flush_dirty)
+            self._loop_hooks.flush_this_iteration(self._flush_dirty_links)
         self._dirty.append(link)
 
-    def _read(self, sock) -> None:
+    def _handle_readable(self, sock) -> None:
         link = self._by_sock.get(sock)
         if link is not None:
             self._receive(link)
         elif self._listener is not None and sock is self._listener.sock:
-            self._take(self._listener.accept_all())
+            self._add_accepted(self._listener.accept_pending())
 
-    def _write(self, link: Link) -> None:
+    def _handle_writable(self, link: Link) -> None:
         if link.state is LinkState.CONNECTING:
-            self._connected(link)
+            self._finish_connecting(link)
         else:
             self._flush(link)
 
     def _flush_all(self, links: list[Link]) -> None:
         for link in links:
             link.dirty = False
-            if not link.polled_for_write:
+            if not link.watching_writable:
                 self._flush(link)
 
     def _attach(self) -> None:
@@ -315,7 +319,7 @@
             return
         self._timers = shared_component(self, TimerService)
         self._poller = shared_component(self, ReadyPoller)
-        self._turns = shared_component(self, Turns)
+        self._loop_hooks = shared_component(self, LoopHooks)
         if self._listener is not None:
             self._listener.attach(self, self._poller, self._timers)
 
@@ -325,22 +329,22 @@
         self._by_sock[sock] = link
         return link
 
-    def _take(self, accepted: Iterable[tuple[socket.socket, str]]) -> None:
+    def _add_accepted(self, accepted: Iterable[tuple[socket.socket, str]]) -> None:
         for sock, peer_ip in accepted:
             link = self._add(next(self._numbers), sock, LinkState.OPEN, peer_ip)
             self._poller.addReader(self, sock)
             self._on_open(link.number, True)
 
-    def _connected(self, link: Link) -> None:
-        fault = connect_error(link.sock)
-        if not fault and is_self_connected(link.sock):
-            fault = errno.ECONNREFUSED
-        if fault:
-            self._broken(link, fault)
+    def _finish_connecting(self, link: Link) -> None:
+        error_code = take_socket_error(link.sock)
+        if not error_code and is_self_connected(link.sock):
+            error_code = errno.ECONNREFUSED
+        if error_code:
+            self._handle_socket_error(link, error_code)
             return
         self._cancel_timer(link)
         link.state = LinkState.OPEN
-        link.polled_for_write = False
+        link.watching_writable = False
         self._poller.removeWriter(link.sock)
         self._poller.addReader(self, link.sock)
         if link.pending:
@@ -348,80 +352,80 @@
         if link.number in self._links:
             self._on_open(link.number, False)
 
-    def _broken(self, link: Link, fault: int) -> None:
+    def _handle_socket_error(self, link: Link, error_code: int) -> None:
         if link.state is LinkState.CONNECTING:
-            self._end(link, _CONNECT_FAULTS.get(fault, CloseReason.UNREACHABLE))
+            self._terminate(link, _CONNECT_ERROR_REASONS.get(error_code, CloseReason.UNREACHABLE))
         elif link.state is LinkState.OPEN:
-            silent = fault == errno.ETIMEDOUT
-            self._end(link, CloseReason.SILENT if silent else CloseReason.RESET)
+            silent = error_code == errno.ETIMEDOUT
+            self._terminate(link, CloseReason.SILENT if silent else CloseReason.RESET)
         else:
-            self._end(link, CloseReason.LOCAL)
+            self._terminate(link, CloseReason.LOCAL)
 
     def _receive(self, link: Link) -> None:
         try:
-            data = link.sock.recv(RECEIVE_BYTES)
+            data = link.sock.recv(MAX_RECEIVE_BYTES)
         except OSError as error:
-            if error.errno not in _AGAIN:
-                self._broken(link, error.errno)
+            if error.errno not in _RETRYABLE_ERRORS:
+                self._handle_socket_error(link, error.errno)
             return
         if link.state is not LinkState.OPEN:
             if not data:
-                self._end(link, CloseReason.LOCAL)
+                self._terminate(link, CloseReason.LOCAL)
         elif data:
             self._on_data(link.number, data)
         else:
-            self._end(link, CloseReason.PEER)
+            self._terminate(link, CloseReason.PEER)
 
     def _flush(self, link: Link) -> None:
         if link.number not in self._links or link.state is LinkState.CONNECTING:
             return
         try:
             while link.pending:
-                if not link.write_some():
-                    self._poll_for_write(link)
+                if not link.write_pending():
+                    self._watch_writable(link)
                     return
         except OSError as error:
-            if error.errno not in _AGAIN:
-                self._broken(link, error.errno)
+            if error.errno not in _RETRYABLE_ERRORS:
+                self._handle_socket_error(link, error.errno)
             else:
-                self._poll_for_write(link)
+                self._watch_writable(link)
             return
-        self._flushed(link)
+        self._on_flushed(link)
 
-    def _flushed(self, link: Link) -> None:
-        if link.polled_for_write:
-            link.polled_for_write = False
+    def _on_flushed(self, link: Link) -> None:
+        if link.watching_writable:
+            link.watching_writable = False
             self._poller.removeWriter(link.sock)
         if link.state is LinkState.FLUSHING:
-            self._shut_down(link)
+            self._shut_down_write(link)
 
-    def _shut_down(self, link: Link) -> None:
+    def _shut_down_write(self, link: Link) -> None:
         link.state = LinkState.DRAINING
-        self._end_after(link, LINGER_BOUND_MS, CloseReason.LOCAL)
+        self._terminate_after(link, LINGER_TIMEOUT_MS, CloseReason.LOCAL)
         try:
             link.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self._end(link, CloseReason.LOCAL)
+            self._terminate(link, CloseReason.LOCAL)
 
-    def _poll_for_write(self, link: Link) -> None:
-        if not link.polled_for_write:
-            link.polled_for_write = True
+    def _watch_writable(self, link: Link) -> None:
+        if not link.watching_writable:
+            link.watching_writable = True
             self._poller.addWriter(self, link.sock)
 
-    def _end_after(self, link: Link, bound_ms: float, reason: CloseReason) -> None:
+    def _terminate_after(self, link: Link, timeout_ms: float, reason: CloseReason) -> None:
         self._cancel_timer(link)
-        link.timer = self._timers.after(bound_ms, lambda: self._end(link, reason))
+        link.timer = self._timers.after(timeout_ms, lambda: self._terminate(link, reason))
 
     def _cancel_timer(self, link: Link) -> None:
         if link.timer is not None:
             link.timer.cancel()
             link.timer = None
 
-    def _end(self, link: Link, reason: CloseReason) -> None:
-        if self._forget(link):
-            self._note_ended(link.number, reason)
+    def _terminate(self, link: Link, reason: CloseReason) -> None:
+        if self._release(link):
+            self._queue_close_notice(link.number, reason)
 
-    def _forget(self, link: Link) -> bool:
+    def _release(self, link: Link) -> bool:
         if self._links.pop(link.number, None) is None:
             return False
         del self._by_sock[link.sock]
@@ -434,8 +438,8 @@
 
 
 def _peek(link: Link) -> bytes | None:
-    """Look at what comes next: some data, ``b""`` for the end, None when nothing is there."""
+    """Return the next unread byte, ``b""`` at the end of the stream, or None without input."""
     try:
         return link.sock.recv(1, socket.MSG_PEEK)
     except OSError as error:
-        return None if error.errno in _AGAIN else b""
+        return None if error.errno in _RETRYABLE_ERRORS else b""
--- a/rhubarbhinge/net/_listener.py
+++ b/rhubarbhinge/net/_listener.py
@@ -1,4 +1,4 @@
-"""A listening socket on the poller of a component."""
+"""A listening TCP socket that is watched by a component's poller."""
 
 import errno
 import socket
@@ -10,20 +10,20 @@
 from rhubarbhinge.net._sockets import listening_socket
 from rhubarbhinge.timing import TimerService
 
-ACCEPTS_PER_TURN = 64
-"""Most connections accepted in one loop turn."""
+MAX_ACCEPTS_PER_ITERATION = 64
+"""Maximum number of connections accepted in one event loop iteration."""
 
-ACCEPT_PAUSE_MS = 100.0
-"""How long accepting rests when the process is out of descriptors, in milliseconds."""
+ACCEPT_RETRY_DELAY_MS = 100.0
+"""Time, in milliseconds, until accepting is retried after file descriptors ran out."""
 
-_EXHAUSTED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Listener:
-    """A listening socket; it rests while the process is out of descriptors.
+    """A listening TCP socket that stops accepting for a while when file descriptors run out.
 
-    :param bind: IP address and port; port 0 for any free one.
-    :raises OSError: when the port can not be bound.
+    :param bind: IP address and port; port 0 selects any free port.
+    :raises OSError: if the port can't be bound.
     """
 
     def __init__(self, bind: tuple[str, int]):
@@ -35,37 +35,37 @@
         self._closed = False
 
     def attach(self, owner: BaseComponent, poller: BasePoller, timers: TimerService) -> None:
-        """Start to be polled.
+        """Start watching the socket for incoming connections.
 
-        :param owner: the component whose ``_read`` handler then calls :meth:`accept_all`.
-        :param poller: the tree's poller.
-        :param timers: the tree's timer service.
+        :param owner: the component whose ``on_readable`` method then calls :meth:`accept_pending`.
+        :param poller: poller of the component tree.
+        :param timers: timer service of the component tree.
         """
         self._owner = owner
         self._poller = poller
         self._timers = timers
-        self._poll()
+        self._watch()
 
-    def accept_all(self) -> Iterator[tuple[socket.socket, str]]:
-        """Accept what waits, within a bound.
+    def accept_pending(self) -> Iterator[tuple[socket.socket, str]]:
+        """Accept waiting connections, up to a limit.
 
-        :returns: sockets, which do not block, and their peers' IP addresses.
+        :returns: non-blocking sockets and the IP addresses of their peers.
         """
-        for _ in range(ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if self._closed:
                 return
             try:
                 sock, address = self.sock.accept()
             except OSError as error:
-                if error.errno in _EXHAUSTED:
-                    self._rest()
+                if error.errno in _RESOURCE_ERRORS:
+                    self._pause_accepting()
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             yield sock, address[0]
 
     def close(self) -> None:
-        """Accept no more connections; harmless when repeated."""
+        """Close the listening socket; may be called more than once."""
         if self._closed:
             return
         self._closed = True
@@ -73,10 +73,10 @@
             self._poller.discard(self.sock)
         self.sock.close()
 
-    def _poll(self) -> None:
+    def _watch(self) -> None:
         if not self._closed:
             self._poller.addReader(self._owner, self.sock)
 
-    def _rest(self) -> None:
+    def _pause_accepting(self) -> None:
         self._poller.discard(self.sock)
-        self._timers.after(ACCEPT_PAUSE_MS, self._poll)
+        self._timers.after(ACCEPT_RETRY_DELAY_MS, self._watch)
--- a/rhubarbhinge/net/_poller.py
+++ b/rhubarbhinge/net/_poller.py
@@ -11,23 +11,23 @@
     """A component that owns sockets."""
 
     def on_readable(self, sock: Any) -> None:
-        """Read.
+        """Handle a readable socket.
 
         :param sock: the socket.
         """
 
     def on_writable(self, sock: Any) -> None:
-        """Write.
+        """Handle a writable socket.
 
         :param sock: the socket.
         """
 
 
 class ReadyPoller(EPoll):
-    """Tells owners of ready sockets by a call, not by an event for each.
+    """An epoll poller that calls socket owners directly instead of firing an event for each socket.
 
-    An event of circuits costs about as much as reading and parsing a message. Hang-ups and faults,
-    which are rare, still come as events.
+    Firing a circuits event costs about as much as reading and parsing a message. Hang-ups and
+    socket errors, which are rare, are still fired as events.
     """
 
     def __init__(self) -> None:
@@ -35,25 +35,25 @@
         self._owners: dict[Any, SocketOwner] = {}
 
     def addReader(self, source: Any, fd: Any) -> None:  # noqa: N802
-        """Watch a socket for reading.
+        """Start watching a socket for input.
 
-        :param source: its owner.
+        :param source: the owner of the socket.
         :param fd: the socket.
         """
         self._owners[fd] = source
         super().addReader(source, fd)
 
     def addWriter(self, source: Any, fd: Any) -> None:  # noqa: N802
-        """Watch a socket for writing.
+        """Start watching a socket for writability.
 
-        :param source: its owner.
+        :param source: the owner of the socket.
         :param fd: the socket.
         """
         self._owners[fd] = source
         super().addWriter(source, fd)
 
     def discard(self, fd: Any) -> None:
-        """Watch a socket no longer.
+        """Stop watching a socket.
 
         :param fd: the socket.
         """
@@ -68,19 +68,19 @@
             if error.errno == errno.EINTR:
                 return
             raise
-        # Sockets are looked up before any callback runs: one that a callback opens may get the
-        # number of one that another callback has closed.
-        known = [(number, self._map.get(number), mask) for number, mask in ready]
-        for number, sock, mask in known:
-            if sock is not None and self._map.get(number) is sock:
-                self._tell(number, sock, mask)
-
-    def _tell(self, number: int, sock: Any, mask: int) -> None:
+        # Look up all sockets before running any callback: a socket opened by a callback may reuse
+        # the file descriptor number of one that another callback has closed.
+        resolved = [(fileno, self._map.get(fileno), mask) for fileno, mask in ready]
+        for fileno, sock, mask in resolved:
+            if sock is not None and self._map.get(fileno) is sock:
+                self._dispatch(fileno, sock, mask)
+
+    def _dispatch(self, fileno: int, sock: Any, mask: int) -> None:
         owner = self._owners.get(sock)
         if owner is None or not mask & (select.EPOLLIN | select.EPOLLOUT):
-            self._process(number, mask)
+            self._process(fileno, mask)
             return
         if mask & select.EPOLLIN:
             owner.on_readable(sock)
-        if mask & select.EPOLLOUT and self._map.get(number) is sock:
+        if mask & select.EPOLLOUT and self._map.get(fileno) is sock:
             owner.on_writable(sock)
--- a/rhubarbhinge/net/_sockets.py
+++ b/rhubarbhinge/net/_sockets.py
@@ -1,48 +1,49 @@
-"""Making sockets."""
+"""Creation and inspection of non-blocking sockets."""
 
 import socket
 import sys
 
-SILENCE_MS = 400
-"""A peer that acknowledges nothing for so long is cut off; round trips take a few milliseconds."""
-KEEPALIVE_S = 1
-"""A quiet peer is asked for a sign of life after so long; the kernel takes whole seconds."""
-BACKLOG = 1024
-"""Connections that the kernel holds until they are accepted."""
-_ROUND_TRIP_AT = 68
-"""Where ``tcpi_rtt``, in us, stands in Linux' ``struct tcp_info``: 8 bytes, then 15 words."""
-_TCP_INFO_BYTES = _ROUND_TRIP_AT + 4
+UNACKNOWLEDGED_TIMEOUT_MS = 400
+"""Time without acknowledgement after which a connection is dropped; round trips take a few ms."""
+KEEPALIVE_INTERVAL_S = 1
+"""Idle time before, and interval between, keepalive probes; the kernel takes whole seconds."""
+LISTEN_BACKLOG = 1024
+"""Maximum number of connections waiting to be accepted."""
+_RTT_OFFSET = 68
+"""Offset of ``tcpi_rtt``, in us, in Linux' ``struct tcp_info``: after 8 bytes and 15 words."""
+_TCP_INFO_BYTES = _RTT_OFFSET + 4
 
 
-_handed_over: dict[tuple[str, int], socket.socket] = {}
+_provided_listeners: dict[tuple[str, int], socket.socket] = {}
 
 
 def hand_over(sock: socket.socket) -> None:
-    """Give a listening socket that was made before this library was loaded.
+    """Register a listening socket that was created before this package was imported.
 
-    Connections that come while a process starts wait in its queue and are not refused.
+    Connections that arrive while the process starts up then wait in its backlog instead of being
+    refused.
 
     :param sock: the socket; :func:`listening_socket` returns it for its address.
     """
     sock.setblocking(False)
-    _handed_over[sock.getsockname()] = sock
+    _provided_listeners[sock.getsockname()] = sock
 
 
 def listening_socket(bind: tuple[str, int]) -> socket.socket:
-    """Make a TCP socket that listens, or take the one that was handed over for the address.
+    """Create a listening TCP socket, or return the one registered for the address.
 
-    :param bind: IP address and port; port 0 for any free one.
-    :returns: the socket, which does not block.
-    :raises OSError: when the port can not be bound.
+    :param bind: IP address and port; port 0 selects any free port.
+    :returns: the non-blocking socket.
+    :raises OSError: if the port can't be bound.
     """
-    ready = _handed_over.pop(tuple(bind), None)
-    if ready is not None:
-        return ready
+    provided = _provided_listeners.pop(tuple(bind), None)
+    if provided is not None:
+        return provided
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(bind)
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         sock.setblocking(False)
     except OSError:
         sock.close()
@@ -53,40 +54,40 @@
 def connecting_socket(
     ip: str, port: int, notice_silence: bool = False
 ) -> tuple[socket.socket, int]:
-    """Make a TCP socket and start its connection.
+    """Create a TCP socket and start connecting it.
 
-    :param ip: the peer's IP address.
-    :param port: the peer's port.
-    :param notice_silence: whether the connection ends when the peer's host is silent.
-    :returns: the socket, which does not block, and the error number of its start.
-    :raises OSError: when there is no room for a socket or the address is none.
+    :param ip: IP address of the peer.
+    :param port: port of the peer.
+    :param notice_silence: whether the connection is dropped when the peer's host stops responding.
+    :returns: the non-blocking socket, and the error number of the connect call.
+    :raises OSError: if no socket can be created or the address is invalid.
     """
     socket.inet_pton(socket.AF_INET, ip)
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if notice_silence:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     return sock, sock.connect_ex((ip, port))
 
 
-def connect_error(sock: socket.socket) -> int:
-    """Tell how a connection came out.
+def take_socket_error(sock: socket.socket) -> int:
+    """Return and clear the pending error of a socket, such as the outcome of a connect.
 
-    :param sock: a socket whose connection has ended its start.
-    :returns: the error number, 0 when connected.
+    :param sock: the socket.
+    :returns: the error number; 0 if there is none.
     """
     return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
 def round_trip_ms(sock: socket.socket) -> float:
-    """Tell the round trip that the kernel has measured on a connection, first in its handshake.
+    """Return the kernel's round-trip time estimate, which is first taken from the handshake.
 
     :param sock: a connected socket.
-    :returns: the time, 0 where the kernel does not tell.
+    :returns: the time in milliseconds; 0 if the kernel doesn't provide it.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
@@ -94,27 +95,27 @@
         return 0.0
     if len(info) < _TCP_INFO_BYTES:
         return 0.0
-    return int.from_bytes(info[_ROUND_TRIP_AT:_TCP_INFO_BYTES], sys.byteorder) / 1e3
+    return int.from_bytes(info[_RTT_OFFSET:_TCP_INFO_BYTES], sys.byteorder) / 1e3
 
 
 def is_self_connected(sock: socket.socket) -> bool:
-    """Tell whether a socket is connected to itself.
+    """Return whether a socket is connected to itself.
 
-    That happens when nothing listens at a local port and the kernel picks the same port for this
-    end (simultaneous open, RFC 9293, 3.5).
+    This happens if nothing listens on a local port and the kernel chooses the same port for the
+    outgoing connection (simultaneous open, RFC 9293, section 3.5).
 
     :param sock: a connected socket.
-    :returns: whether both ends are the same.
+    :returns: whether local and remote address are equal.
     """
     return sock.getsockname() == sock.getpeername()
 
 
 def datagram_socket(bind: tuple[str, int]) -> socket.socket:
-    """Make a UDP socket.
+    """Create a UDP socket.
 
-    :param bind: IP address and port; port 0 for any free one.
-    :returns: the socket, which does not block.
-    :raises OSError: when the port can not be bound.
+    :param bind: IP address and port; port 0 selects any free port.
+    :returns: the non-blocking socket.
+    :raises OSError: if the port can't be bound.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
--- a/rhubarbhinge/net/tests/test_links.py
+++ b/rhubarbhinge/net/tests/test_links.py
@@ -13,8 +13,8 @@
 LOOPBACK = "127.0.0.1"
 
 
-class End:
-    """Records what one component of links tells."""
+class Endpoint:
+    """Records the callbacks of one :class:`Links` component."""
 
     def __init__(self, **arguments):
         self.opened, self.data, self.closed = [], {}, []
@@ -32,7 +32,7 @@
 class LinksTest(unittest.TestCase):
     def setUp(self):
         self.root = BaseComponent()
-        self.near, self.far = End(), End(bind=(LOOPBACK, 0))
+        self.near, self.far = Endpoint(), Endpoint(bind=(LOOPBACK, 0))
         self.near.links.register(self.root)
         self.far.links.register(self.root)
         self.port = self.far.links.bound_port
@@ -52,7 +52,7 @@
         self.addCleanup(listener.close)
         return listener, listener.getsockname()[1]
 
-    def test_bytes_go_both_ways(self):
+    def test_data_is_sent_in_both_directions(self):
         near, far = self.connect()
         self.near.links.send(near, b"ab")
         self.near.links.send(near, b"cd")
@@ -61,7 +61,7 @@
         self.until(lambda: self.near.data.get(near) == b"ef")
         self.assertEqual(LOOPBACK, self.far.links.peer_ip(far))
 
-    def test_what_is_flushed_is_written_before_the_turn_ends(self):
+    def test_flush_writes_immediately(self):
         near, far = self.connect()
         self.near.links.send(near, b"ab")
         self.assertEqual((self.near.links.unsent_bytes(near), self.near.links.sent_bytes), (2, 2))
@@ -69,7 +69,7 @@
         self.assertEqual(self.near.links.unsent_bytes(near), 0)
         self.until(lambda: self.far.data.get(far) == b"ab")
 
-    def test_connections_that_wait_when_listening_stops_are_still_served(self):
+    def test_backlog_is_accepted_when_listening_stops(self):
         run_until(self.root, lambda: False, 0.05)
         peers = [socket.create_connection((LOOPBACK, self.port)) for _ in range(3)]
         for peer in peers:
@@ -80,22 +80,22 @@
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection((LOOPBACK, self.port))
 
-    def test_what_is_sent_in_one_turn_goes_out_in_one_write(self):
+    def test_sends_in_one_iteration_are_written_together(self):
         near, far = self.connect()
-        with mock.patch.object(Link, "write_some", autospec=True) as write:
-            write.side_effect = lambda link: link.drop_written(link.pending_bytes) or True
+        with mock.patch.object(Link, "write_pending", autospec=True) as write:
+            write.side_effect = lambda link: link.discard_written(link.pending_bytes) or True
             for _ in range(10):
                 self.near.links.send(near, b"x")
             self.until(lambda: write.called)
             run_until(self.root, lambda: False, 0.1)
         self.assertEqual(1, write.call_count)
 
-    def test_what_is_sent_before_the_connection_is_made_arrives(self):
+    def test_data_sent_while_connecting_is_delivered(self):
         link = self.near.links.open(LOOPBACK, self.port, 5000)
         self.near.links.send(link, b"early")
         self.until(lambda: b"early" in self.far.data.values())
 
-    def test_a_slow_reader_gets_every_byte_of_partial_writes(self):
+    def test_partial_writes_to_slow_reader_lose_nothing(self):
         listener, port = self.raw_peer()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         link = self.near.links.open(LOOPBACK, port, 5000)
@@ -111,32 +111,32 @@
         self.near.links.close(link)
         run_until(self.root, lambda: False, 0.1)
         self.assertGreater(self.near.links._links[link].pending_bytes, 0)
-        got = bytearray()
+        received = bytearray()
 
-        def read_some():
+        def receive_all():
             try:
-                while len(got) < 3_000_000:
-                    got.extend(peer.recv(1 << 20))
+                while len(received) < 3_000_000:
+                    received.extend(peer.recv(1 << 20))
             except BlockingIOError:
                 return False
             return True
 
-        self.until(read_some)
-        self.assertEqual(b"".join(parts), bytes(got))
+        self.until(receive_all)
+        self.assertEqual(b"".join(parts), bytes(received))
         peer.close()
         self.until(lambda: self.near.closed == [(link, CloseReason.LOCAL)])
 
-    def test_too_many_pending_bytes_close_the_link(self):
+    def test_exceeding_pending_limit_closes_link(self):
         _, port = self.raw_peer()
-        end = End(max_pending_bytes=1000)
-        end.links.register(self.root)
-        link = end.links.open(LOOPBACK, port, 5000)
-        self.until(lambda: end.opened)
-        end.links.send(link, b"x" * 1001)
-        self.assertEqual([], end.closed)
-        self.until(lambda: end.closed == [(link, CloseReason.OVERFLOW)])
-
-    def test_each_way_of_ending_has_its_reason(self):
+        endpoint = Endpoint(max_pending_bytes=1000)
+        endpoint.links.register(self.root)
+        link = endpoint.links.open(LOOPBACK, port, 5000)
+        self.until(lambda: endpoint.opened)
+        endpoint.links.send(link, b"x" * 1001)
+        self.assertEqual([], endpoint.closed)
+        self.until(lambda: endpoint.closed == [(link, CloseReason.OVERFLOW)])
+
+    def test_each_side_gets_its_close_reason(self):
         near, far = self.connect()
         self.near.links.close(near)
         self.until(lambda: self.near.closed and self.far.closed)
@@ -152,7 +152,7 @@
         run_until(self.root, lambda: False, 0.1)
         self.assertEqual(2, len(self.near.closed))
 
-    def test_a_reset_is_told(self):
+    def test_reset_is_reported(self):
         listener, port = self.raw_peer()
         link = self.near.links.open(LOOPBACK, port, 5000)
         self.until(lambda: self.near.opened)
@@ -161,7 +161,7 @@
         peer.close()
         self.until(lambda: self.near.closed == [(link, CloseReason.RESET)])
 
-    def test_failed_connections_are_told_later_and_never_from_open(self):
+    def test_failed_connects_are_reported_asynchronously(self):
         self.far.links.stop_listening()
         refused = self.near.links.open(LOOPBACK, self.port, 5000)
         unreachable = self.near.links.open("not-an-address", 1, 5000)
@@ -170,15 +170,15 @@
         self.assertIn((refused, CloseReason.REFUSED), self.near.closed)
         self.assertIn((unreachable, CloseReason.UNREACHABLE), self.near.closed)
 
-    def test_a_connection_that_takes_too_long_is_given_up(self):
+    def test_connect_times_out(self):
         listener, port = self.raw_peer(backlog=0)
         links = [self.near.links.open(LOOPBACK, port, 300) for _ in range(8)]
         self.until(lambda: len(self.near.opened) + len(self.near.closed) == len(links))
-        self.assertEqual({CloseReason.CONNECT_TIMEOUT}, {why for _, why in self.near.closed})
+        self.assertEqual({CloseReason.CONNECT_TIMEOUT}, {reason for _, reason in self.near.closed})
 
-    def test_accepting_rests_while_descriptors_are_out(self):
-        out = OSError(errno.EMFILE, "too many open files")
-        with mock.patch("socket.socket.accept", side_effect=out) as accept:
+    def test_accepting_pauses_without_file_descriptors(self):
+        no_descriptors = OSError(errno.EMFILE, "too many open files")
+        with mock.patch("socket.socket.accept", side_effect=no_descriptors) as accept:
             link = self.near.links.open(LOOPBACK, self.port, 5000)
             self.until(lambda: self.near.opened)
             run_until(self.root, lambda: False, 0.25)
@@ -186,29 +186,29 @@
         self.until(lambda: self.far.opened)
         self.assertTrue(self.near.links.is_quiet(link))
 
-    def test_a_connection_to_itself_counts_as_refused(self):
+    def test_self_connection_is_refused(self):
         with mock.patch("rhubarbhinge.net._links.is_self_connected", return_value=True):
             link = self.near.links.open(LOOPBACK, self.port, 5000)
             self.until(lambda: self.near.closed == [(link, CloseReason.REFUSED)])
 
-    def test_a_pause_is_told_before_the_data_that_came_in_meanwhile(self):
+    def test_pause_is_reported_before_data_received_meanwhile(self):
         now_ms, seen = 0.0, []
         self.root = BaseComponent()
         self.addCleanup(stop_tree, self.root)
         timers = TimerService(clock=lambda: now_ms).register(self.root)
         timers.on_pause(lambda late_ms: seen.append("pause"))
-        end = End(bind=(LOOPBACK, 0))
-        end.links.register(self.root)
-        end.links._on_data = lambda link, data: seen.append("data")
-        peer = socket.create_connection((LOOPBACK, end.links.bound_port))
+        endpoint = Endpoint(bind=(LOOPBACK, 0))
+        endpoint.links.register(self.root)
+        endpoint.links._on_data = lambda link, data: seen.append("data")
+        peer = socket.create_connection((LOOPBACK, endpoint.links.bound_port))
         self.addCleanup(peer.close)
-        self.until(lambda: end.opened and timers.asleep)
+        self.until(lambda: endpoint.opened and timers.asleep)
         peer.send(b"x")
         now_ms += 5000
         self.until(lambda: "data" in seen)
         self.assertEqual(["pause", "data"], seen)
 
-    def test_a_callback_that_raises_stops_the_process(self):
+    def test_exception_in_callback_stops_process(self):
         near, _ = self.connect()
         self.far.links._on_data = lambda link, data: 1 / 0
         self.near.links.send(near, b"x")
--- a/rhubarbhinge/web/_server.py
+++ b/rhubarbhinge/web/_server.py
@@ -151,7 +151,7 @@
             self._time(caller, "idle", self._limits.idle_timeout_ms)
 
     def _hand_over(self, caller: _Caller, request: Request) -> None:
-        if self._links.has_ended(caller.link):
+        if self._links.has_peer_closed(caller.link):
             # Its close is told next; nothing is begun for a caller that gave up before.
             return
         self._stop_timing(caller)
