--- a/rhubarbhinge/web/__init__.py
+++ b/rhubarbhinge/web/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 server and clients."""
+"""HTTP/1.1 server and clients as circuits components."""
 
 from rhubarbhinge.web._client import HttpClient
-from rhubarbhinge.web._connections import MALFORMED, TIMEOUT, UNASKED, HttpConnections
+from rhubarbhinge.web._connections import MALFORMED, TIMEOUT, UNSOLICITED, HttpConnections
 from rhubarbhinge.web._errors import error_response
 from rhubarbhinge.web._failure import Failure
 from rhubarbhinge.web._limits import HttpLimits
@@ -14,7 +14,7 @@
 __all__ = [
     "MALFORMED",
     "TIMEOUT",
-    "UNASKED",
+    "UNSOLICITED",
     "Failure",
     "HttpClient",
     "HttpConnections",
--- a/rhubarbhinge/web/_client.py
+++ b/rhubarbhinge/web/_client.py
@@ -1,4 +1,4 @@
-"""A simple HTTP client that keeps a few idle connections."""
+"""An HTTP client with a small pool of idle connections."""
 
 import itertools
 from collections.abc import Callable
@@ -6,16 +6,16 @@
 from circuits import BaseComponent
 
 from rhubarbhinge.timing import Subscription, TimerService
-from rhubarbhinge.web._coding import ACCEPT_GZIP, decoded
 from rhubarbhinge.web._connections import MALFORMED, TIMEOUT, HttpConnections
+from rhubarbhinge.web._content_coding import ACCEPT_GZIP, decode_content
 from rhubarbhinge.web._failure import Failure
 from rhubarbhinge.web._reply import Reply
 
-IDLE_PER_ADDRESS = 4
-"""Most idle connections kept to one address."""
+MAX_IDLE_PER_ADDRESS = 4
+"""Maximum number of idle connections kept for one address."""
 
-IDLE_MS = 15_000.0
-"""Longest that an idle connection is kept, in milliseconds; below most servers' own bound."""
+IDLE_TIMEOUT_MS = 15_000.0
+"""Milliseconds after which an idle connection is closed; below most servers' own timeout."""
 
 Address = tuple[str, int]
 Headers = tuple[tuple[str, str], ...]
@@ -24,18 +24,20 @@
 class _Call:
     """State of one call.
 
-    :param address: the receiver's IP address and port.
-    :param arguments: method, path, body and headers of the request.
-    :param end_ms: when the call times out.
-    :param on_done: told the outcome.
+    :param address: IP address and port of the server.
+    :param request_args: method, path, body and headers of the request.
+    :param deadline_ms: time at which the call times out.
+    :param on_done: called with the outcome.
     """
 
-    __slots__ = ("address", "arguments", "end_ms", "on_done", "conn", "sent", "timer")
+    __slots__ = ("address", "request_args", "deadline_ms", "on_done", "conn", "sent", "timer")
 
-    def __init__(self, address: Address, arguments: tuple, end_ms: float, on_done: Callable):
+    def __init__(
+        self, address: Address, request_args: tuple, deadline_ms: float, on_done: Callable
+    ):
         self.address = address
-        self.arguments = arguments
-        self.end_ms = end_ms
+        self.request_args = request_args
+        self.deadline_ms = deadline_ms
         self.on_done = on_done
         self.conn = 0
         self.sent = False
@@ -43,10 +45,10 @@
 
 
 class HttpClient(BaseComponent):
-    """Makes calls to any address; nothing is sent twice.
+    """Makes HTTP calls to any address; requests are never retried.
 
     :param timers: the timer service.
-    :param takes_gzip: whether servers may compress their replies, which are decoded here.
+    :param takes_gzip: whether to accept gzip-compressed replies, which are decoded before delivery.
     """
 
     channel = "http-client"
@@ -55,7 +57,7 @@
         super().__init__()
         self._timers = timers
         self._takes_gzip = takes_gzip
-        self._numbers = itertools.count(1)
+        self._call_ids = itertools.count(1)
         self._calls: dict[int, _Call] = {}
         self._by_conn: dict[int, int] = {}
         self._idle: dict[Address, dict[int, Subscription]] = {}
@@ -75,44 +77,44 @@
         timeout_ms: float = 30_000.0,
         on_done: Callable[[Reply | Failure], None] = lambda outcome: None,
     ) -> int:
-        """Make a call; the outcome is told later, once, unless the call is cancelled.
-
-        :param ip: the receiver's IP address.
-        :param port: the receiver's port.
-        :param method: the method.
-        :param path: the path with its query, percent-encoded.
-        :param body: the whole body.
-        :param headers: more headers.
-        :param timeout_ms: longest that the call may take, connecting included.
-        :param on_done: told the outcome.
-        :returns: the call, to cancel it by.
+        """Start a call; its outcome is reported later, exactly once, unless the call is cancelled.
+
+        :param ip: IP address of the server.
+        :param port: port of the server.
+        :param method: the request method.
+        :param path: the path and query, percent-encoded.
+        :param body: the request body.
+        :param headers: additional request headers.
+        :param timeout_ms: timeout of the whole call, including the connect, in milliseconds.
+        :param on_done: called with the outcome.
+        :returns: an identifier to cancel the call with.
         """
-        number = next(self._numbers)
-        end_ms = self._timers.now_ms() + timeout_ms
-        call = _Call((ip, port), (method, path, body, headers), end_ms, on_done)
-        self._calls[number] = call
-        call.timer = self._timers.after(timeout_ms, lambda: self._expire(number))
-        conn = self._take_idle(call.address)
+        call_id = next(self._call_ids)
+        deadline_ms = self._timers.now_ms() + timeout_ms
+        call = _Call((ip, port), (method, path, body, headers), deadline_ms, on_done)
+        self._calls[call_id] = call
+        call.timer = self._timers.after(timeout_ms, lambda: self._expire(call_id))
+        conn = self._pop_idle(call.address)
         if conn is None:
             call.conn = self._connections.open(ip, port, timeout_ms)
             self._addresses[call.conn] = call.address
-            self._by_conn[call.conn] = number
+            self._by_conn[call.conn] = call_id
         else:
-            self._by_conn[conn] = number
+            self._by_conn[conn] = call_id
             self._send(conn, call)
-        return number
+        return call_id
 
     def cancel(self, call: int) -> None:
-        """Drop a call; its outcome is not told, its connection is closed.
+        """Cancel a call: its outcome is not reported, and its connection is closed.
 
-        :param call: the call.
+        :param call: identifier of the call.
         """
-        found = self._calls.pop(call, None)
-        if found is not None:
-            found.timer.cancel()
-            self._connections.close(found.conn)
+        cancelled = self._calls.pop(call, None)
+        if cancelled is not None:
+            cancelled.timer.cancel()
+            self._connections.close(cancelled.conn)
 
-    def _take_idle(self, address: Address) -> int | None:
+    def _pop_idle(self, address: Address) -> int | None:
         idle = self._idle.get(address, {})
         while idle:
             conn, timer = idle.popitem()
@@ -123,11 +125,11 @@
 
     def _send(self, conn: int, call: _Call) -> None:
         call.conn = conn
-        method, path, body, headers = call.arguments
+        method, path, body, headers = call.request_args
         if self._takes_gzip:
             headers += ACCEPT_GZIP
-        left_ms = call.end_ms - self._timers.now_ms()
-        call.sent = self._connections.request(conn, method, path, body, headers, left_ms)
+        remaining_ms = call.deadline_ms - self._timers.now_ms()
+        call.sent = self._connections.request(conn, method, path, body, headers, remaining_ms)
 
     def _opened(self, conn: int) -> None:
         call = self._calls.get(self._by_conn[conn])
@@ -135,26 +137,26 @@
             self._send(conn, call)
 
     def _replied(self, conn: int, reply: Reply) -> None:
-        number = self._by_conn.pop(conn)
-        self._keep(conn)
-        plain = decoded(reply) if self._takes_gzip else reply
-        self._finish(number, Failure(MALFORMED, True) if plain is None else plain)
+        call_id = self._by_conn.pop(conn)
+        self._keep_idle(conn)
+        decoded_reply = decode_content(reply) if self._takes_gzip else reply
+        self._finish(call_id, Failure(MALFORMED, True) if decoded_reply is None else decoded_reply)
 
     def _closed(self, conn: int, reason: str) -> None:
         address = self._addresses.pop(conn)
-        self._forget_idle(address, conn)
-        number = self._by_conn.pop(conn, None)
-        if number is not None:
-            self._fail(number, reason)
+        self._remove_idle(address, conn)
+        call_id = self._by_conn.pop(conn, None)
+        if call_id is not None:
+            self._fail(call_id, reason)
 
-    def _keep(self, conn: int) -> None:
+    def _keep_idle(self, conn: int) -> None:
         idle = self._idle.setdefault(self._addresses[conn], {})
-        if len(idle) >= IDLE_PER_ADDRESS or not self._connections.reusable(conn):
+        if len(idle) >= MAX_IDLE_PER_ADDRESS or not self._connections.reusable(conn):
             self._connections.close(conn)
             return
-        idle[conn] = self._timers.after(IDLE_MS, lambda: self._connections.close(conn))
+        idle[conn] = self._timers.after(IDLE_TIMEOUT_MS, lambda: self._connections.close(conn))
 
-    def _forget_idle(self, address: Address, conn: int) -> None:
+    def _remove_idle(self, address: Address, conn: int) -> None:
         idle = self._idle.get(address)
         if idle is None:
             return
@@ -164,19 +166,19 @@
         if not idle:
             del self._idle[address]
 
-    def _expire(self, number: int) -> None:
-        call = self._calls.get(number)
+    def _expire(self, call_id: int) -> None:
+        call = self._calls.get(call_id)
         if call is not None:
             self._connections.close(call.conn)
-            self._fail(number, TIMEOUT)
+            self._fail(call_id, TIMEOUT)
 
-    def _fail(self, number: int, code: str) -> None:
-        call = self._calls.get(number)
+    def _fail(self, call_id: int, code: str) -> None:
+        call = self._calls.get(call_id)
         if call is not None:
-            self._finish(number, Failure(code, call.sent))
+            self._finish(call_id, Failure(code, call.sent))
 
-    def _finish(self, number: int, outcome: Reply | Failure) -> None:
-        call = self._calls.pop(number, None)
+    def _finish(self, call_id: int, outcome: Reply | Failure) -> None:
+        call = self._calls.pop(call_id, None)
         if call is not None:
             call.timer.cancel()
             call.on_done(outcome)
--- a/rhubarbhinge/web/_connections.py
+++ b/rhubarbhinge/web/_connections.py
@@ -1,4 +1,4 @@
-"""HTTP connections to upstreams, whose use the caller decides on."""
+"""HTTP connections to upstreams that the owner opens, reuses and closes explicitly."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,16 @@
 from rhubarbhinge.timing import Subscription, TimerService
 from rhubarbhinge.web._reply import Reply
 from rhubarbhinge.web._reply_parser import ReplyFault, ReplyParser
-from rhubarbhinge.web._request_head import encode_request
+from rhubarbhinge.web._request_encoding import encode_request
 
 TIMEOUT = "timeout"
-"""Close reason of a connection whose reply did not come in time."""
+"""Close reason of a connection whose reply did not arrive in time."""
 
 MALFORMED = "malformed"
-"""Close reason of a connection that brought no well-formed reply."""
+"""Close reason of a connection that received an invalid reply."""
 
-UNASKED = "unasked"
-"""Close reason of a connection that brought bytes that no request asked for."""
+UNSOLICITED = "unasked"
+"""Close reason of a connection that received data without a pending request."""
 
 
 class _Conn:
@@ -26,27 +26,27 @@
     :param host: value of the ``Host`` header.
     """
 
-    __slots__ = ("host", "is_open", "parser", "timer", "closing")
+    __slots__ = ("host", "is_open", "parser", "timer", "close_reason")
 
     def __init__(self, host: str):
         self.host = host
         self.is_open = False
         self.parser: ReplyParser | None = None
         self.timer: Subscription | None = None
-        self.closing = ""
+        self.close_reason = ""
 
 
 class HttpConnections(BaseComponent):
-    """Makes requests on connections that the caller opens, one at a time on each.
+    """Sends requests on explicitly opened connections, one request at a time on each.
 
-    A connection whose reply is late, malformed or unasked is closed and never used again, so a
-    reply can only be that of the one request under way on its connection.
+    A connection with a late, malformed or unsolicited reply is closed and never reused, so that a
+    reply always belongs to the request that is pending on its connection.
 
     :param timers: the timer service.
-    :param on_open: called with a connection that has opened.
+    :param on_open: called with a connection once it is established.
     :param on_reply: called with a connection and the reply to its request.
-    :param on_close: called once for each connection, with the reason.
-    :param notice_silence: whether a connection ends when the peer's host is silent.
+    :param on_close: called exactly once for each connection, with the reason.
+    :param notice_silence: whether connections are closed when the peer's host stops responding.
     """
 
     channel = "http-connections"
@@ -70,11 +70,11 @@
         ).register(self)
 
     def open(self, ip: str, port: int, timeout_ms: float) -> int:
-        """Start a connection; ``on_open`` or ``on_close`` is called later.
+        """Start connecting; ``on_open`` or ``on_close`` is called later.
 
-        :param ip: the upstream's IP address.
-        :param port: the upstream's port.
-        :param timeout_ms: longest that connecting may take, in milliseconds.
+        :param ip: IP address of the upstream.
+        :param port: port of the upstream.
+        :param timeout_ms: connect timeout in milliseconds.
         :returns: the connection.
         """
         conn = self._links.open(ip, port, timeout_ms)
@@ -92,24 +92,24 @@
     ) -> bool:
         """Send a request; ``on_reply`` or ``on_close`` is called later.
 
-        Nothing is sent on a connection that the upstream has closed, or on which it has sent
-        something unasked, even if that is still to be told.
-
-        :param conn: an open connection without a request under way.
-        :param method: the method.
-        :param path: the path with its query, percent-encoded.
-        :param body: the whole body.
-        :param headers: more headers, besides those of host and length.
-        :param timeout_ms: longest that the reply may take, in milliseconds.
-        :returns: whether the request was handed to the connection; if not, none of it leaves.
-        :raises RuntimeError: when the connection is not open or has a request under way.
-        :raises ValueError: when the method, path or headers are not well-formed.
+        Nothing is sent if the upstream has already closed the connection or sent unsolicited data,
+        even if this has not been reported yet.
+
+        :param conn: an open connection without a pending request.
+        :param method: the request method.
+        :param path: the path and query, percent-encoded.
+        :param body: the request body.
+        :param headers: additional request headers; host and length are set automatically.
+        :param timeout_ms: reply timeout in milliseconds.
+        :returns: whether the request was queued for sending; if False, no part of it will be sent.
+        :raises RuntimeError: if the connection is not open or has a pending request.
+        :raises ValueError: if the method, path or headers are invalid.
         """
         found = self._conns.get(conn)
         if found is None or not found.is_open or found.parser is not None:
-            raise RuntimeError(f"connection {conn} can not take a request")
+            raise RuntimeError(f"connection {conn} is not open or has a pending request")
         data = encode_request(method, path, found.host, body, headers)
-        if found.closing or not self._links.is_quiet(conn):
+        if found.close_reason or not self._links.is_quiet(conn):
             return False
         found.parser = ReplyParser(method)
         found.timer = self._timers.after(timeout_ms, lambda: self._abort(conn, found, TIMEOUT))
@@ -117,7 +117,7 @@
         return True
 
     def close(self, conn: int) -> None:
-        """Close a connection at once; ``on_close`` is called later with ``local``.
+        """Close a connection immediately; ``on_close`` is called later with ``local``.
 
         :param conn: the connection.
         """
@@ -126,13 +126,13 @@
             self._abort(conn, found, CloseReason.LOCAL.value)
 
     def reusable(self, conn: int) -> bool:
-        """Tell whether a connection can take a request now.
+        """Return whether a request can be sent on a connection now.
 
         :param conn: the connection.
-        :returns: whether it is open and quiet, and without a request under way.
+        :returns: whether it is open, has no pending request and no unread input.
         """
         found = self._conns.get(conn)
-        if found is None or found.parser is not None or found.closing:
+        if found is None or found.parser is not None or found.close_reason:
             return False
         return self._links.is_quiet(conn)
 
@@ -143,7 +143,7 @@
     def _received(self, conn: int, data: bytes) -> None:
         found = self._conns[conn]
         if found.parser is None:
-            self._abort(conn, found, UNASKED)
+            self._abort(conn, found, UNSOLICITED)
             return
         outcome = found.parser.feed(data)
         if outcome is None:
@@ -151,14 +151,14 @@
         if isinstance(outcome, ReplyFault):
             self._abort(conn, found, MALFORMED)
             return
-        self._finish(conn, found, outcome)
+        self._finish_reply(conn, found, outcome)
 
-    def _finish(self, conn: int, found: _Conn, reply: Reply) -> None:
-        reusable, unasked = found.parser.reusable, found.parser.unasked
+    def _finish_reply(self, conn: int, found: _Conn, reply: Reply) -> None:
+        reusable, unsolicited = found.parser.reusable, found.parser.unsolicited
         found.parser = None
         found.timer.cancel()
-        if unasked:
-            self._abort(conn, found, UNASKED)
+        if unsolicited:
+            self._abort(conn, found, UNSOLICITED)
         elif not reusable:
             self._abort(conn, found, CloseReason.PEER.value)
         self._on_reply(conn, reply)
@@ -167,9 +167,9 @@
         found = self._conns.pop(conn)
         if found.timer is not None:
             found.timer.cancel()
-        self._on_close(conn, found.closing or reason.value)
+        self._on_close(conn, found.close_reason or reason.value)
 
     def _abort(self, conn: int, found: _Conn, reason: str) -> None:
-        if not found.closing:
-            found.closing = reason
+        if not found.close_reason:
+            found.close_reason = reason
             self._links.abort(conn)
--- a/rhubarbhinge/web/_errors.py
+++ b/rhubarbhinge/web/_errors.py
@@ -1,4 +1,4 @@
-"""Errors as coded JSON."""
+"""Error responses with a JSON body."""
 
 import msgspec
 
@@ -12,23 +12,23 @@
     todo: str,
     headers: tuple[tuple[str, str], ...] = (),
 ) -> Response:
-    """Make an answer that tells an error.
+    """Build an error response.
 
     :param status: the status code.
-    :param code: the error's code, for programs.
-    :param message: a sentence that says what is wrong.
-    :param todo: a sentence that says what the caller can do.
-    :param headers: more headers.
-    :returns: the answer.
+    :param code: machine-readable error code.
+    :param message: a sentence that describes the error.
+    :param todo: a sentence that tells the client how to resolve it.
+    :param headers: additional headers.
+    :returns: the response.
     """
     error = {"code": code, "message": message, "todo": todo}
     return Response(status, msgspec.json.encode({"error": error}), headers)
 
 
 def malformed() -> Response:
-    """Answer bytes that are no HTTP/1.1 request.
+    """Build the response to data that is not a valid HTTP/1.1 request.
 
-    :returns: the answer.
+    :returns: the response.
     """
     return error_response(
         400,
@@ -39,9 +39,9 @@
 
 
 def unsupported_coding() -> Response:
-    """Answer a transfer coding other than ``chunked``.
+    """Build the response to a transfer coding other than ``chunked``.
 
-    :returns: the answer.
+    :returns: the response.
     """
     return error_response(
         501,
@@ -52,10 +52,10 @@
 
 
 def header_too_large(limit_bytes: int) -> Response:
-    """Answer headers above the limit.
+    """Build the response to headers above the limit.
 
     :param limit_bytes: the limit in bytes.
-    :returns: the answer.
+    :returns: the response.
     """
     return error_response(
         431,
@@ -66,10 +66,10 @@
 
 
 def body_too_large(limit_bytes: int) -> Response:
-    """Answer a body above the limit.
+    """Build the response to a body above the limit.
 
     :param limit_bytes: the limit in bytes.
-    :returns: the answer.
+    :returns: the response.
     """
     return error_response(
         413,
@@ -80,9 +80,9 @@
 
 
 def too_many_connections() -> Response:
-    """Answer a connection above the cap.
+    """Build the response to a connection above the limit.
 
-    :returns: the answer.
+    :returns: the response.
     """
     return error_response(
         503,
--- a/rhubarbhinge/web/_failure.py
+++ b/rhubarbhinge/web/_failure.py
@@ -1,13 +1,13 @@
-"""The outcome of a call that got no reply."""
+"""The outcome of a call without a reply."""
 
 from msgspec import Struct
 
 
 class Failure(Struct, frozen=True):
-    """The outcome of a call that got no reply.
+    """The outcome of a call without a reply.
 
-    :param code: why, such as ``timeout`` or ``refused``.
-    :param sent: whether any byte of the request may have left.
+    :param code: the reason, such as ``timeout`` or ``refused``.
+    :param sent: whether any part of the request may have been sent.
     """
 
     code: str
--- a/rhubarbhinge/web/_limits.py
+++ b/rhubarbhinge/web/_limits.py
@@ -1,18 +1,18 @@
-"""What the server grants its callers."""
+"""Limits of the HTTP server."""
 
 from msgspec import Struct
 
 
 class HttpLimits(Struct, frozen=True):
-    """What the server grants its callers.
+    """Limits of the HTTP server.
 
-    :param header_bytes: most bytes of a request's line and headers.
-    :param body_bytes: most bytes of a request's body.
-    :param connections: most connections at a time.
-    :param header_timeout_ms: longest that a request's headers may take, in milliseconds.
-    :param body_timeout_ms: longest that a request's body may take, in milliseconds.
-    :param idle_timeout_ms: longest that a connection is kept between requests, in milliseconds.
-    :param gzip_least_bytes: body size from which answers are compressed for callers who accept it.
+    :param header_bytes: maximum size of a request line and headers.
+    :param body_bytes: maximum size of a request body.
+    :param connections: maximum number of concurrent connections.
+    :param header_timeout_ms: timeout for receiving a request's headers, in milliseconds.
+    :param body_timeout_ms: timeout for receiving a request's body, in milliseconds.
+    :param idle_timeout_ms: timeout of a connection between requests, in milliseconds.
+    :param gzip_least_bytes: minimum size of a body that is compressed for clients that accept it.
     """
 
     header_bytes: int = 16 * 1024
--- a/rhubarbhinge/web/_reply.py
+++ b/rhubarbhinge/web/_reply.py
@@ -1,14 +1,14 @@
-"""An upstream's answer to a request of ours."""
+"""An upstream's reply to a request of this process."""
 
 from msgspec import Struct
 
 
 class Reply(Struct, frozen=True):
-    """An upstream's answer to a request of ours.
+    """An upstream's reply to a request of this process.
 
     :param status: the status code.
     :param headers: the headers, names in lower case.
-    :param body: the whole body.
+    :param body: the complete body.
     """
 
     status: int
--- a/rhubarbhinge/web/_reply_head.py
+++ b/rhubarbhinge/web/_reply_head.py
@@ -1,4 +1,4 @@
-"""Reply heads, judged by h11 once for each form."""
+"""Reply heads, parsed by h11 and cached."""
 
 from functools import lru_cache
 
@@ -6,20 +6,20 @@
 from msgspec import Struct
 
 from rhubarbhinge.web._heads import (
-    FORMS_KEPT,
-    WITHOUT_BODY,
-    has_bare_line_end,
+    BODILESS_STATUSES,
+    HEAD_CACHE_SIZE,
+    has_bare_cr_or_lf,
     header_dict,
-    mentions_length,
-    split_form,
+    mentions_body_length,
+    split_content_length,
 )
 
-REPLY_HEAD_BYTES = 64 * 1024
-"""Most bytes of a reply's status line and headers."""
+MAX_REPLY_HEAD_BYTES = 64 * 1024
+"""Maximum size of a reply's status line and headers."""
 
 
 class ReplyHead(Struct, frozen=True):
-    """What a head says, but for the body's length.
+    """The content of a reply head, except for the body's length.
 
     :param status: the status code.
     :param headers: the other headers, names in lower case.
@@ -31,45 +31,45 @@
     reusable: bool
 
 
-def read_plain_reply_head(head: bytes) -> tuple[ReplyHead, int] | None:
-    """Read a head that states the body's length in the plain way.
+def parse_cacheable_reply_head(head: bytes) -> tuple[ReplyHead, int] | None:
+    """Parse a head with a plain ``Content-Length`` header, using the cache.
 
-    :param head: status line and headers with their closing empty line.
-    :returns: the head and the body's length in bytes, or None for a head that needs a full parse.
+    :param head: the status line and headers, including the closing empty line.
+    :returns: the head and the body's length in bytes; None if the head has to be parsed by h11.
     """
-    split = split_form(head)
+    split = split_content_length(head)
     if split is None or split[2] is None:
         return None
-    form = _reply_form(split[0], split[1])
-    return None if form is None else (form, split[2])
+    parsed_head = _parse_reply_head(split[0], split[1])
+    return None if parsed_head is None else (parsed_head, split[2])
 
 
-@lru_cache(FORMS_KEPT)
-def _reply_form(before: bytes, after: bytes) -> ReplyHead | None:
-    if has_bare_line_end(before + after) or mentions_length(before + after):
+@lru_cache(HEAD_CACHE_SIZE)
+def _parse_reply_head(before: bytes, after: bytes) -> ReplyHead | None:
+    if has_bare_cr_or_lf(before + after) or mentions_body_length(before + after):
         return None
-    reader = reply_reader("GET")
+    connection = h11_client_connection("GET")
     try:
-        reader.receive_data(before + b"Content-Length: 0" + after)
-        response, end = reader.next_event(), reader.next_event()
+        connection.receive_data(before + b"Content-Length: 0" + after)
+        response, end = connection.next_event(), connection.next_event()
     except h11.RemoteProtocolError:
         return None
     if not isinstance(response, h11.Response) or not isinstance(end, h11.EndOfMessage):
         return None
-    if response.status_code in WITHOUT_BODY:
+    if response.status_code in BODILESS_STATUSES:
         return None
     headers = header_dict(response.headers)
     del headers["content-length"]
-    return ReplyHead(response.status_code, headers, reader.their_state is h11.DONE)
+    return ReplyHead(response.status_code, headers, connection.their_state is h11.DONE)
 
 
-def reply_reader(method: str) -> h11.Connection:
-    """Make an h11 connection that waits for a reply.
+def h11_client_connection(method: str) -> h11.Connection:
+    """Create an h11 connection that expects a reply.
 
-    :param method: the request's method.
+    :param method: the request method.
     :returns: the connection.
     """
-    reader = h11.Connection(h11.CLIENT, max_incomplete_event_size=REPLY_HEAD_BYTES)
-    reader.send(h11.Request(method=method, target="/", headers=[("Host", "")]))
-    reader.send(h11.EndOfMessage())
-    return reader
+    connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_REPLY_HEAD_BYTES)
+    connection.send(h11.Request(method=method, target="/", headers=[("Host", "")]))
+    connection.send(h11.EndOfMessage())
+    return connection
--- a/rhubarbhinge/web/_reply_parser.py
+++ b/rhubarbhinge/web/_reply_parser.py
@@ -1,133 +1,133 @@
-"""A reply out of the bytes of one connection."""
+"""Incremental parser for one reply."""
 
 from enum import Enum, auto
 
 import h11
 
 from rhubarbhinge.web._heads import (
+    BODILESS_STATUSES,
     HEAD_END,
-    WITHOUT_BODY,
-    has_bare_line_end,
-    has_odd_length,
+    count_length_headers,
+    has_bare_cr_or_lf,
+    has_invalid_content_length,
     header_dict,
-    stated_lengths,
 )
 from rhubarbhinge.web._reply import Reply
 from rhubarbhinge.web._reply_head import (
-    REPLY_HEAD_BYTES,
+    MAX_REPLY_HEAD_BYTES,
     ReplyHead,
-    read_plain_reply_head,
-    reply_reader,
+    h11_client_connection,
+    parse_cacheable_reply_head,
 )
 
-REPLY_BODY_BYTES = 32 * 1024 * 1024
-"""Most bytes of a reply's body."""
+MAX_REPLY_BODY_BYTES = 32 * 1024 * 1024
+"""Maximum size of a reply's body."""
 
 
 class ReplyFault(Enum):
-    """Why the bytes of a connection are not the reply to its request."""
+    """Why received data is not an acceptable reply."""
 
     MALFORMED = auto()
-    """They are no reply, or one above the limits, or one without a stated end."""
+    """Not a valid reply, or above the size limits, or without a defined body length."""
 
 
 class ReplyParser:
-    """State of reading the reply to one request.
+    """Parses the reply to one request.
 
-    :param method: the request's method.
+    :param method: the request method.
     """
 
     __slots__ = (
         "reusable",
-        "unasked",
+        "unsolicited",
         "_method",
-        "_start",
+        "_head_buffer",
         "_head",
         "_body_bytes",
-        "_parts",
-        "_read_bytes",
-        "_full",
+        "_body_parts",
+        "_received_bytes",
+        "_h11_parser",
     )
 
     def __init__(self, method: str):
         self.reusable = False
-        self.unasked = False
+        self.unsolicited = False
         self._method = method
-        self._start = b""
+        self._head_buffer = b""
         self._head: ReplyHead | None = None
         self._body_bytes = 0
-        self._parts: list[bytes] = []
-        self._read_bytes = 0
-        self._full: _FullParser | None = None
+        self._body_parts: list[bytes] = []
+        self._received_bytes = 0
+        self._h11_parser: _H11ReplyParser | None = None
 
     def feed(self, data: bytes) -> Reply | ReplyFault | None:
-        """Take in bytes of the connection.
+        """Add bytes received on the connection.
 
         :param data: the bytes.
-        :returns: the reply, why there will be none, or None while more bytes are needed.
+        :returns: the reply, the fault found in it, or None if more bytes are needed.
         """
-        if self._full is not None:
-            return self._read_full(data)
+        if self._h11_parser is not None:
+            return self._feed_h11(data)
         if self._head is None:
-            return self._read_head(self._start + data)
+            return self._read_head(self._head_buffer + data)
         return self._read_body(data)
 
     def _read_head(self, data: bytes) -> Reply | ReplyFault | None:
         end = data.find(HEAD_END)
         if end < 0:
-            self._start = data
-            return ReplyFault.MALFORMED if len(data) > REPLY_HEAD_BYTES else None
+            self._head_buffer = data
+            return ReplyFault.MALFORMED if len(data) > MAX_REPLY_HEAD_BYTES else None
         end += len(HEAD_END)
-        plain = read_plain_reply_head(data[:end]) if self._method != "HEAD" else None
-        if plain is None:
-            if has_bare_line_end(data[:end]) or has_odd_length(data[:end]):
+        cacheable = parse_cacheable_reply_head(data[:end]) if self._method != "HEAD" else None
+        if cacheable is None:
+            if has_bare_cr_or_lf(data[:end]) or has_invalid_content_length(data[:end]):
                 return ReplyFault.MALFORMED
-            self._full = _FullParser(self._method)
-            return self._read_full(data)
-        self._head, self._body_bytes = plain
-        if self._body_bytes > REPLY_BODY_BYTES:
+            self._h11_parser = _H11ReplyParser(self._method)
+            return self._feed_h11(data)
+        self._head, self._body_bytes = cacheable
+        if self._body_bytes > MAX_REPLY_BODY_BYTES:
             return ReplyFault.MALFORMED
         return self._read_body(data[end:])
 
     def _read_body(self, data: bytes) -> Reply | None:
-        self._parts.append(data)
-        self._read_bytes += len(data)
-        if self._read_bytes < self._body_bytes:
+        self._body_parts.append(data)
+        self._received_bytes += len(data)
+        if self._received_bytes < self._body_bytes:
             return None
         head = self._head
         self.reusable = head.reusable
-        self.unasked = self._read_bytes > self._body_bytes
-        body = b"".join(self._parts)[: self._body_bytes]
+        self.unsolicited = self._received_bytes > self._body_bytes
+        body = b"".join(self._body_parts)[: self._body_bytes]
         headers = {**head.headers, "content-length": str(self._body_bytes)}
         return Reply(head.status, headers, body)
 
-    def _read_full(self, data: bytes) -> Reply | ReplyFault | None:
-        outcome = self._full.feed(data)
-        self.reusable = self._full.reusable
-        self.unasked = self._full.unasked
+    def _feed_h11(self, data: bytes) -> Reply | ReplyFault | None:
+        outcome = self._h11_parser.feed(data)
+        self.reusable = self._h11_parser.reusable
+        self.unsolicited = self._h11_parser.unsolicited
         return outcome
 
 
-class _FullParser:
-    """State of reading a reply of any form by h11.
+class _H11ReplyParser:
+    """Parses any reply with h11, without the cache.
 
-    :param method: the request's method.
+    :param method: the request method.
     """
 
     def __init__(self, method: str):
         self._method = method
         self.reusable = False
-        self.unasked = False
-        self._h11 = reply_reader(method)
+        self.unsolicited = False
+        self._h11 = h11_client_connection(method)
         self._response: h11.Response | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
 
     def feed(self, data: bytes) -> Reply | ReplyFault | None:
-        """Take in bytes of the connection.
+        """Add bytes received on the connection.
 
         :param data: the bytes.
-        :returns: the reply, why there will be none, or None while more bytes are needed.
+        :returns: the reply, the fault found in it, or None if more bytes are needed.
         """
         try:
             self._h11.receive_data(data)
@@ -144,25 +144,25 @@
                 return ReplyFault.MALFORMED
             if isinstance(event, h11.Response):
                 self._response = event
-                if not _has_stated_end(event, self._method):
+                if not _has_defined_length(event, self._method):
                     return ReplyFault.MALFORMED
             elif isinstance(event, h11.Data):
                 self._body.append(bytes(event.data))
                 self._body_bytes += len(event.data)
-                if self._body_bytes > REPLY_BODY_BYTES:
+                if self._body_bytes > MAX_REPLY_BODY_BYTES:
                     return ReplyFault.MALFORMED
             elif isinstance(event, h11.EndOfMessage):
                 return self._reply()
 
     def _reply(self) -> Reply:
         self.reusable = self._h11.their_state is h11.DONE
-        self.unasked = bool(self._h11.trailing_data[0])
+        self.unsolicited = bool(self._h11.trailing_data[0])
         response = self._response
         return Reply(response.status_code, header_dict(response.headers), b"".join(self._body))
 
 
-def _has_stated_end(response: h11.Response, method: str) -> bool:
-    stated = stated_lengths(response.headers)
-    if stated == 0:
-        return method == "HEAD" or response.status_code in WITHOUT_BODY
-    return stated == 1
+def _has_defined_length(response: h11.Response, method: str) -> bool:
+    length_headers = count_length_headers(response.headers)
+    if length_headers == 0:
+        return method == "HEAD" or response.status_code in BODILESS_STATUSES
+    return length_headers == 1
--- a/rhubarbhinge/web/_request.py
+++ b/rhubarbhinge/web/_request.py
@@ -1,21 +1,22 @@
-"""A request that a caller has made."""
+"""A request received by the server."""
 
 from msgspec import Struct
 
 
 class Request(Struct, frozen=True):
-    """A request that a caller has made.
+    """A request received by the server.
 
     :param method: the method, such as ``GET``.
     :param path: the path, percent-decoded, without the query.
-    :param query: the query's parameters; of one given twice the last counts.
+    :param query: the query parameters; the last value of a repeated parameter is used.
     :param headers: the headers, names in lower case.
-    :param body: the whole body.
-    :param peer_ip: the caller's IP address.
-    :param target: path and query as they were sent.
-    :param raw_headers: names and values as they were sent, without that of the body's length.
-    :param transit_ms: what round trips add to the time that the caller sees: one for the request
-        and its answer, and one more for the handshake before the first request of a connection.
+    :param body: the complete body.
+    :param peer_ip: IP address of the client.
+    :param target: the path and query as sent.
+    :param raw_headers: names and values as sent, except for the body's length.
+    :param transit_ms: network time included in the latency that the client sees: one round trip for
+        the request and its response, and another one for the handshake before the first request of
+        a connection.
     """
 
     method: str
--- a/rhubarbhinge/web/_responder.py
+++ b/rhubarbhinge/web/_responder.py
@@ -1,4 +1,4 @@
-"""The handle that a request is answered by."""
+"""Sending the response to a request."""
 
 from collections.abc import Callable
 
@@ -6,9 +6,9 @@
 
 
 class Responder:
-    """Answers one request, at any later time.
+    """Sends the response to one request, possibly after the request handler has returned.
 
-    :param send: sends the answer.
+    :param send: sends the response.
     """
 
     __slots__ = ("_send", "_answered", "_abandoned", "_callback")
@@ -21,30 +21,30 @@
 
     @property
     def abandoned(self) -> bool:
-        """Whether the caller's connection went before the answer."""
+        """Whether the client closed the connection before the response was sent."""
         return self._abandoned
 
     def answer(self, response: Response) -> None:
-        """Answer the request; the answer is dropped when the caller has gone.
+        """Send the response; it is discarded if the client has closed the connection.
 
-        :param response: the answer.
-        :raises RuntimeError: when the request has been answered before.
+        :param response: the response.
+        :raises RuntimeError: if a response has been sent already.
         """
         if self._answered:
-            raise RuntimeError("a request is answered once")
+            raise RuntimeError("the request has already been answered")
         self._answered = True
         if not self._abandoned:
             self._send(response)
 
     def on_abandoned(self, callback: Callable[[], None]) -> None:
-        """Ask to be told when the caller's connection goes before the answer.
+        """Register a callback for the client closing the connection before the response was sent.
 
         :param callback: called without arguments, at most once.
         """
         self._callback = callback
 
     def abandon(self) -> None:
-        """Note that the caller's connection has gone; the server calls this."""
+        """Record that the client closed the connection; called by the server."""
         if self._answered or self._abandoned:
             return
         self._abandoned = True
--- a/rhubarbhinge/web/_response.py
+++ b/rhubarbhinge/web/_response.py
@@ -1,4 +1,4 @@
-"""An answer to a caller's request."""
+"""A response sent by the server."""
 
 from msgspec import Struct
 
@@ -6,12 +6,12 @@
 
 
 class Response(Struct, frozen=True):
-    """An answer to a caller's request.
+    """A response sent by the server.
 
     :param status: the status code.
-    :param body: the whole body.
-    :param headers: more headers, besides those of length, type and connection.
-    :param content_type: the body's media type; empty when it is among the headers, or not known.
+    :param body: the complete body.
+    :param headers: additional headers; length, type and connection are set automatically.
+    :param content_type: media type of the body; empty if it is unknown or given in the headers.
     """
 
     status: int
--- a/rhubarbhinge/web/_response_writing.py
+++ b/rhubarbhinge/web/_response_writing.py
@@ -1,4 +1,4 @@
-"""Answers as bytes; their heads are written and checked by h11 and kept for reuse."""
+"""Encoding of responses; heads are encoded and validated by h11, and cached."""
 
 import gzip
 from functools import lru_cache
@@ -6,38 +6,38 @@
 
 import h11
 
-from rhubarbhinge.web._heads import FORMS_KEPT, WITHOUT_BODY
+from rhubarbhinge.web._heads import BODILESS_STATUSES, HEAD_CACHE_SIZE
 from rhubarbhinge.web._request import Request
 from rhubarbhinge.web._response import Response
 
 GZIP_LEVEL = 5
-"""Between speed (1) and size (9): answers are small, callers' networks slow."""
+"""Compromise between speed (1) and size (9): responses are small, and clients' networks slow."""
 
 GZIP_HEADERS = (("Content-Encoding", "gzip"), ("Vary", "Accept-Encoding"))
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-LENGTH_START = b"Content-Length: "
-NO_LENGTH = LENGTH_START + b"0\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTENT_LENGTH_PREFIX = b"Content-Length: "
+ZERO_CONTENT_LENGTH = CONTENT_LENGTH_PREFIX + b"0\r\n\r\n"
 ZERO_QUALITIES = ("q=0", "q=0.0", "q=0.00", "q=0.000")
 
 
 def encode_response(
-    response: Response, request: Request | None, closes: bool, gzip_least_bytes: int = 0
+    response: Response, request: Request | None, closes_connection: bool, gzip_least_bytes: int = 0
 ) -> bytes:
-    """Write an answer.
+    """Encode a response.
 
-    :param response: the answer.
-    :param request: what is answered, or None when no request could be read.
-    :param closes: whether the connection is closed after the answer.
-    :param gzip_least_bytes: body size from which to compress if the caller accepts it.
+    :param response: the response.
+    :param request: the request; None if no request could be parsed.
+    :param closes_connection: whether the connection is closed after the response.
+    :param gzip_least_bytes: minimum size of a body that is compressed if the client accepts it.
     :returns: the bytes to send.
-    :raises ValueError: when the answer's headers are not well-formed.
+    :raises ValueError: if the headers are invalid.
     """
     body, headers = response.body, response.headers
     if request and len(body) >= gzip_least_bytes and _may_compress(request, response):
-        body = _compressed(body)
+        body = _gzip(body)
         headers += GZIP_HEADERS
-    start = _head_start(response.status, response.content_type, headers, closes)
-    if response.status in WITHOUT_BODY:
+    start = _encode_head_start(response.status, response.content_type, headers, closes_connection)
+    if response.status in BODILESS_STATUSES:
         return start + b"\r\n"
     head = b"%bContent-Length: %d\r\n\r\n" % (start, len(body))
     if request and request.method == "HEAD":
@@ -46,32 +46,35 @@
 
 
 @lru_cache(1)
-def _compressed(body: bytes) -> bytes:
-    """Compress a body; one that goes to many at once, as published state does, costs that once."""
+def _gzip(body: bytes) -> bytes:
+    """Compress a body.
+
+    The last result is cached, since some bodies, such as published state, are sent to many clients.
+    """
     return gzip.compress(body, GZIP_LEVEL, mtime=0)
 
 
-@lru_cache(FORMS_KEPT)
-def _head_start(
-    status: int, content_type: str, headers: tuple[tuple[str, str], ...], closes: bool
+@lru_cache(HEAD_CACHE_SIZE)
+def _encode_head_start(
+    status: int, content_type: str, headers: tuple[tuple[str, str], ...], closes_connection: bool
 ) -> bytes:
-    fields = [("Connection", "close")] if closes else []
-    if status not in WITHOUT_BODY and content_type:
+    fields = [("Connection", "close")] if closes_connection else []
+    if status not in BODILESS_STATUSES and content_type:
         fields.append(("Content-Type", content_type))
     fields += [*headers, ("Content-Length", "0")]
     try:
-        # Values that are passed on may hold any byte above 127 (RFC 9110, 5.5).
+        # Forwarded header values may contain any byte above 127 (RFC 9110, 5.5).
         raw = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in fields]
-        response = h11.Response(status_code=status, headers=raw, reason=_reason(status))
+        response = h11.Response(status_code=status, headers=raw, reason=_reason_phrase(status))
         head = h11.Connection(h11.SERVER).send(response)
     except h11.LocalProtocolError as error:
-        raise ValueError(f"an answer's head is not well-formed: {error}") from error
-    if not head.endswith(NO_LENGTH):
-        raise ValueError("the length of an answer's body is worked out here")
-    return head[: -len(NO_LENGTH)]
+        raise ValueError(f"invalid response head: {error}") from error
+    if not head.endswith(ZERO_CONTENT_LENGTH):
+        raise ValueError("Content-Length is set by the encoder")
+    return head[: -len(ZERO_CONTENT_LENGTH)]
 
 
-def _reason(status: int) -> bytes:
+def _reason_phrase(status: int) -> bytes:
     try:
         return HTTPStatus(status).phrase.encode("ascii")
     except ValueError:
@@ -84,8 +87,8 @@
 
 
 def _accepts_gzip(request: Request) -> bool:
-    for choice in request.headers.get("accept-encoding", "").split(","):
-        coding, _, quality = choice.partition(";")
-        if coding.strip().lower() == "gzip":
+    for element in request.headers.get("accept-encoding", "").split(","):
+        content_coding, _, quality = element.partition(";")
+        if content_coding.strip().lower() == "gzip":
             return quality.replace(" ", "") not in ZERO_QUALITIES
     return False
--- a/rhubarbhinge/web/_server.py
+++ b/rhubarbhinge/web/_server.py
@@ -8,21 +8,21 @@
 from rhubarbhinge.timing import Subscription, TimerService
 from rhubarbhinge.web._errors import too_many_connections
 from rhubarbhinge.web._limits import HttpLimits
-from rhubarbhinge.web._parser import Refusal, RequestParser
 from rhubarbhinge.web._request import Request
+from rhubarbhinge.web._request_parser import Refusal, RequestParser
 from rhubarbhinge.web._responder import Responder
 from rhubarbhinge.web._response import Response
-from rhubarbhinge.web._response_writing import CONTINUE, encode_response
+from rhubarbhinge.web._response_writing import CONTINUE_RESPONSE, encode_response
 
 
-class _Caller:
-    """State of one caller's connection.
+class _Connection:
+    """State of one client connection.
 
-    :param link: its link.
-    :param parser: reads its requests.
+    :param link: the link of the connection.
+    :param parser: parses the requests of the connection.
     """
 
-    __slots__ = ("link", "parser", "responder", "request", "timer", "timing")
+    __slots__ = ("link", "parser", "responder", "request", "timer", "phase")
 
     def __init__(self, link: int, parser: RequestParser):
         self.link = link
@@ -30,17 +30,17 @@
         self.responder: Responder | None = None
         self.request: Request | None = None
         self.timer: Subscription | None = None
-        self.timing = ""
+        self.phase = ""
 
 
 class HttpServer(BaseComponent):
-    """Serves HTTP/1.1; pipelined requests are answered one at a time, in order.
+    """An HTTP/1.1 server; pipelined requests are handled one at a time, in order.
 
     :param timers: the timer service.
-    :param handle: called with each whole request and the handle to answer it by.
-    :param bind: IP address and port to listen at.
-    :param limits: what is granted to callers.
-    :raises OSError: when the port can not be bound.
+    :param handle: called with each complete request and the responder for it.
+    :param bind: IP address and port to listen on.
+    :param limits: the limits; default values if None.
+    :raises OSError: if the port can't be bound.
     """
 
     channel = "http-server"
@@ -56,165 +56,168 @@
         self._timers = timers
         self._handle = handle
         self._limits = limits or HttpLimits()
-        self._callers: dict[int, _Caller] = {}
+        self._connections: dict[int, _Connection] = {}
         self._open_requests = 0
         self._stopping = False
-        self._closes = False
+        self._closes_after_response = False
         self._links = Links(self._opened, self._received, self._closed, bind).register(self)
 
     @property
     def bound_port(self) -> int:
-        """The port listened at."""
+        """The port listened on."""
         return self._links.bound_port
 
     @property
     def open_requests(self) -> int:
-        """How many requests have been handed over and not answered or abandoned."""
+        """Number of requests passed to the handler and neither answered nor abandoned yet."""
         return self._open_requests
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of answers since the start."""
+        """Total size of responses since the start, in bytes."""
         return self._links.sent_bytes
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of answers not written yet; a graceful stop waits until there are none."""
+        """Number of response bytes not written yet; a graceful stop waits until it is 0."""
         return self._links.pending_bytes
 
     def limit(self, limits: HttpLimits) -> None:
-        """Grant other limits, to connections that are opened from now on and to waits.
+        """Change the limits.
 
-        :param limits: the limits.
+        Size limits apply to connections accepted from now on, timeouts to waits that begin from now
+        on.
+
+        :param limits: the new limits.
         """
         self._limits = limits
 
     def close_after_answers(self, closes: bool) -> None:
-        """Say whether each connection is closed after its next answer.
+        """Set whether connections are closed after their next response.
 
-        :param closes: whether it is.
+        :param closes: whether they are closed.
         """
-        self._closes = closes
+        self._closes_after_response = closes
 
     def begin_closing(self) -> None:
-        """Close idle connections, and each other one after its next answer; go on listening."""
+        """Close idle connections now and all others after their next response; keep listening."""
         self._stopping = True
-        for caller in list(self._callers.values()):
-            if caller.timing == "idle":
-                self._close(caller)
+        for connection in list(self._connections.values()):
+            if connection.phase == "idle":
+                self._close(connection)
 
     def stop_listening(self) -> None:
-        """Accept no more connections; each open one is closed after its next answer."""
+        """Accept no more connections, and close open ones after their next response."""
         self._stopping = True
         self._links.stop_listening()
 
     def _opened(self, link: int, inbound: bool) -> None:
-        if len(self._callers) >= self._limits.connections:
+        if len(self._connections) >= self._limits.connections:
             self._links.send(link, encode_response(too_many_connections(), None, True))
             self._links.close(link)
             return
         parser = RequestParser(
             self._limits, self._links.peer_ip(link), self._links.round_trip_ms(link)
         )
-        caller = _Caller(link, parser)
-        self._callers[link] = caller
-        self._time(caller, "header", self._limits.header_timeout_ms)
+        connection = _Connection(link, parser)
+        self._connections[link] = connection
+        self._start_phase(connection, "header", self._limits.header_timeout_ms)
 
     def _received(self, link: int, data: bytes) -> None:
-        caller = self._callers.get(link)
-        if caller is None:
+        connection = self._connections.get(link)
+        if connection is None:
             return
-        caller.parser.feed(data)
-        if caller.responder is None:
-            self._read_on(caller)
-        if caller.responder is not None and caller.parser.overrun:
-            self._abort(caller)
+        connection.parser.feed(data)
+        if connection.responder is None:
+            self._process_input(connection)
+        if connection.responder is not None and connection.parser.is_read_ahead_exceeded:
+            self._abort(connection)
 
     def _closed(self, link: int, reason: CloseReason) -> None:
-        caller = self._callers.pop(link, None)
-        if caller is not None:
-            self._drop(caller)
+        connection = self._connections.pop(link, None)
+        if connection is not None:
+            self._abandon_request(connection)
 
-    def _read_on(self, caller: _Caller) -> None:
-        outcome = caller.parser.next()
+    def _process_input(self, connection: _Connection) -> None:
+        outcome = connection.parser.next()
         if isinstance(outcome, Refusal):
-            self._refuse(caller, outcome.response)
+            self._reject(connection, outcome.response)
         elif outcome is not None:
-            self._hand_over(caller, outcome)
-        elif caller.parser.reading_body:
-            self._time(caller, "body", self._limits.body_timeout_ms)
-            if caller.parser.take_continue():
-                self._links.send(caller.link, CONTINUE)
-        elif caller.parser.started:
-            self._time(caller, "header", self._limits.header_timeout_ms)
+            self._dispatch(connection, outcome)
+        elif connection.parser.reading_body:
+            self._start_phase(connection, "body", self._limits.body_timeout_ms)
+            if connection.parser.take_expect_continue():
+                self._links.send(connection.link, CONTINUE_RESPONSE)
+        elif connection.parser.started:
+            self._start_phase(connection, "header", self._limits.header_timeout_ms)
         else:
-            self._time(caller, "idle", self._limits.idle_timeout_ms)
+            self._start_phase(connection, "idle", self._limits.idle_timeout_ms)
 
-    def _hand_over(self, caller: _Caller, request: Request) -> None:
-        if self._links.has_peer_closed(caller.link):
-            # Its close is told next; nothing is begun for a caller that gave up before.
+    def _dispatch(self, connection: _Connection, request: Request) -> None:
+        if self._links.has_peer_closed(connection.link):
+            # The close is reported next; don't start work for a client that has disconnected.
             return
-        self._stop_timing(caller)
-        caller.request = request
-        caller.responder = Responder(lambda response: self._answer(caller, response))
+        self._end_phase(connection)
+        connection.request = request
+        connection.responder = Responder(lambda response: self._send_response(connection, response))
         self._open_requests += 1
-        self._handle(request, caller.responder)
+        self._handle(request, connection.responder)
 
-    def _answer(self, caller: _Caller, response: Response) -> None:
+    def _send_response(self, connection: _Connection, response: Response) -> None:
         self._open_requests -= 1
-        parser = caller.parser
-        reusable = parser.reusable and not self._stopping and not self._closes
-        sent = encode_response(
-            response, caller.request, not reusable, self._limits.gzip_least_bytes
+        parser = connection.parser
+        reusable = parser.reusable and not self._stopping and not self._closes_after_response
+        data = encode_response(
+            response, connection.request, not reusable, self._limits.gzip_least_bytes
         )
-        self._links.send(caller.link, sent)
-        # At the end of the loop turn it would be late by all that else is done in it.
-        self._links.flush(caller.link)
-        caller.responder = None
-        caller.request = None
+        self._links.send(connection.link, data)
+        # Other work in this loop iteration would delay the response if it were written at the end.
+        self._links.flush(connection.link)
+        connection.responder = None
+        connection.request = None
         if not reusable:
-            self._close(caller)
+            self._close(connection)
             return
         parser.finish()
         if parser.started:
-            self._timers.after(0, lambda: self._read_next(caller))
+            self._timers.after(0, lambda: self._process_next(connection))
         else:
-            self._time(caller, "idle", self._limits.idle_timeout_ms)
+            self._start_phase(connection, "idle", self._limits.idle_timeout_ms)
 
-    def _read_next(self, caller: _Caller) -> None:
-        if caller.link in self._callers and caller.responder is None:
-            self._read_on(caller)
+    def _process_next(self, connection: _Connection) -> None:
+        if connection.link in self._connections and connection.responder is None:
+            self._process_input(connection)
 
-    def _refuse(self, caller: _Caller, response: Response) -> None:
-        self._links.send(caller.link, encode_response(response, None, True))
-        self._close(caller)
+    def _reject(self, connection: _Connection, response: Response) -> None:
+        self._links.send(connection.link, encode_response(response, None, True))
+        self._close(connection)
 
-    def _close(self, caller: _Caller) -> None:
-        self._callers.pop(caller.link, None)
-        self._drop(caller)
-        self._links.close(caller.link)
+    def _close(self, connection: _Connection) -> None:
+        self._connections.pop(connection.link, None)
+        self._abandon_request(connection)
+        self._links.close(connection.link)
 
-    def _abort(self, caller: _Caller) -> None:
-        self._callers.pop(caller.link, None)
-        self._drop(caller)
-        self._links.abort(caller.link)
+    def _abort(self, connection: _Connection) -> None:
+        self._connections.pop(connection.link, None)
+        self._abandon_request(connection)
+        self._links.abort(connection.link)
 
-    def _drop(self, caller: _Caller) -> None:
-        self._stop_timing(caller)
-        responder, caller.responder = caller.responder, None
+    def _abandon_request(self, connection: _Connection) -> None:
+        self._end_phase(connection)
+        responder, connection.responder = connection.responder, None
         if responder is not None:
             self._open_requests -= 1
             responder.abandon()
 
-    def _time(self, caller: _Caller, timing: str, timeout_ms: float) -> None:
-        if caller.timing == timing:
+    def _start_phase(self, connection: _Connection, phase: str, timeout_ms: float) -> None:
+        if connection.phase == phase:
             return
-        self._stop_timing(caller)
-        caller.timing = timing
-        caller.timer = self._timers.after(timeout_ms, lambda: self._close(caller))
-
-    def _stop_timing(self, caller: _Caller) -> None:
-        if caller.timer is not None:
-            caller.timer.cancel()
-        caller.timer = None
-        caller.timing = ""
+        self._end_phase(connection)
+        connection.phase = phase
+        connection.timer = self._timers.after(timeout_ms, lambda: self._close(connection))
+
+    def _end_phase(self, connection: _Connection) -> None:
+        if connection.timer is not None:
+            connection.timer.cancel()
+        connection.timer = None
+        connection.phase = ""
--- a/rhubarbhinge/web/tests/raw.py
+++ b/rhubarbhinge/web/tests/raw.py
@@ -1,4 +1,4 @@
-"""Bare sockets against which the server and the clients are tested."""
+"""Plain sockets for testing the server and the clients."""
 
 import contextlib
 import socket
@@ -12,7 +12,7 @@
 
 
 class Tree:
-    """A circuits tree that a test pumps in its own thread."""
+    """A circuits component tree whose event loop is run by the test itself."""
 
     def __init__(self, test):
         self.test = test
@@ -28,17 +28,17 @@
 
     def connect(self, port):
         sock = socket.create_connection((LOOPBACK, port))
-        return RawEnd(self, sock)
+        return RawPeer(self, sock)
 
 
-class RawEnd:
-    """One end of a connection, read while the tree runs."""
+class RawPeer:
+    """One end of a connection, read while the event loop runs."""
 
     def __init__(self, tree, sock):
         self.tree = tree
         self.sock = sock
-        self.got = b""
-        self.ended = False
+        self.received = b""
+        self.closed = False
         sock.setblocking(False)
         tree.test.addCleanup(sock.close)
 
@@ -50,25 +50,25 @@
     def poll(self):
         try:
             data = self.sock.recv(1 << 20)
-            self.got += data
-            self.ended = self.ended or not data
+            self.received += data
+            self.closed = self.closed or not data
         except BlockingIOError:
             pass
         except ConnectionResetError:
-            self.ended = True
-        return self.got
+            self.closed = True
+        return self.received
 
-    def until_got(self, *parts):
+    def wait_received(self, *parts):
         self.tree.until(lambda: all(part in self.poll() for part in parts))
         return self
 
-    def until_ended(self):
-        self.tree.until(lambda: self.poll() is not None and self.ended)
+    def wait_closed(self):
+        self.tree.until(lambda: self.poll() is not None and self.closed)
         return self
 
 
 class RawUpstream:
-    """Listens, and holds the connections made to it."""
+    """A listening socket that accepts connections only when told to by the test."""
 
     def __init__(self, tree):
         self.tree = tree
@@ -88,10 +88,10 @@
             return accepted
 
         self.tree.until(try_accept)
-        return RawEnd(self.tree, accepted[0])
+        return RawPeer(self.tree, accepted[0])
 
 
 def reply(body, *fields, status=b"200 OK"):
-    """Write a reply with a stated length."""
+    """Encode a reply with a ``Content-Length`` header."""
     lines = [b"HTTP/1.1 " + status, b"Content-Length: %d" % len(body), *fields]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- a/rhubarbhinge/web/tests/test_client.py
+++ b/rhubarbhinge/web/tests/test_client.py
@@ -24,25 +24,25 @@
     def outcomes(self):
         return [getattr(outcome, "body", outcome) for _, outcome in self.done]
 
-    def test_an_idle_connection_is_used_again(self):
+    def test_idle_connection_is_reused(self):
         self.call("/1")
-        peer = self.upstream.accept().until_got(b"GET /1 ").send(reply(b"one"))
+        peer = self.upstream.accept().wait_received(b"GET /1 ").send(reply(b"one"))
         self.tree.until(lambda: self.done)
         self.call("/2")
-        peer.until_got(b"GET /2 ").send(reply(b"two"))
+        peer.wait_received(b"GET /2 ").send(reply(b"two"))
         self.tree.until(lambda: len(self.done) == 2)
         self.assertEqual([b"one", b"two"], self.outcomes())
 
-    def test_an_idle_connection_that_the_peer_closed_is_not(self):
+    def test_idle_connection_closed_by_peer_is_not_reused(self):
         self.call("/1")
-        peer = self.upstream.accept().until_got(b"GET /1 ").send(reply(b"one"))
+        peer = self.upstream.accept().wait_received(b"GET /1 ").send(reply(b"one"))
         self.tree.until(lambda: self.done)
         peer.sock.close()
         self.call("/2")
-        self.upstream.accept().until_got(b"GET /2 ").send(reply(b"two"))
+        self.upstream.accept().wait_received(b"GET /2 ").send(reply(b"two"))
         self.tree.until(lambda: len(self.done) == 2)
 
-    def test_failures_say_whether_anything_was_sent(self):
+    def test_failure_states_whether_request_was_sent(self):
         self.upstream.listener.close()
         self.call()
         self.tree.until(lambda: self.done)
@@ -50,29 +50,29 @@
         self.call(timeout_ms=100)
         self.tree.until(lambda: len(self.done) == 2)
         self.call()
-        self.upstream.accept().until_got(b"GET").sock.close()
-        self.upstream.accept().until_got(b"GET").sock.close()
+        self.upstream.accept().wait_received(b"GET").sock.close()
+        self.upstream.accept().wait_received(b"GET").sock.close()
         self.tree.until(lambda: len(self.done) == 3)
         self.assertEqual(Failure("refused", False), self.outcomes()[0])
         self.assertEqual(Failure("timeout", True), self.outcomes()[1])
         self.assertTrue(self.outcomes()[2].sent)
 
-    def test_a_late_reply_is_never_that_of_another_call(self):
+    def test_late_reply_is_not_matched_to_another_call(self):
         self.call("/late", timeout_ms=100)
-        peer = self.upstream.accept().until_got(b"GET /late ")
+        peer = self.upstream.accept().wait_received(b"GET /late ")
         self.tree.until(lambda: self.done)
         self.call("/next")
         peer.send(reply(b"late"))
-        self.upstream.accept().until_got(b"GET /next ").send(reply(b"next"))
+        self.upstream.accept().wait_received(b"GET /next ").send(reply(b"next"))
         self.tree.until(lambda: len(self.done) == 2)
         self.assertEqual(("/next", b"next"), (self.done[1][0], self.done[1][1].body))
 
-    def test_a_cancelled_call_is_not_told_and_its_connection_ends(self):
+    def test_cancelled_call_is_not_reported_and_its_connection_closes(self):
         call = self.call()
-        peer = self.upstream.accept().until_got(b"GET")
+        peer = self.upstream.accept().wait_received(b"GET")
         self.client.cancel(call)
         self.client.cancel(call)
-        peer.until_ended()
+        peer.wait_closed()
         self.client.cancel(self.call())
         self.tree.settle()
         self.assertEqual([], self.done)
--- a/rhubarbhinge/web/tests/test_connections.py
+++ b/rhubarbhinge/web/tests/test_connections.py
@@ -21,75 +21,75 @@
         self.tree.until(lambda: conn in self.opened)
         return conn, self.upstream.accept()
 
-    def ask(self, method="POST", timeout_ms=5000):
+    def send_request(self, method="POST", timeout_ms=5000):
         conn, peer = self.connect()
         self.conns.request(conn, method, "/search", b"{}", (("X", "y"),), timeout_ms)
-        peer.until_got(b"\r\n\r\n{}")
+        peer.wait_received(b"\r\n\r\n{}")
         return conn, peer
 
     def bodies(self):
         return [(conn, reply.body) for conn, reply in self.replies]
 
-    def until_closed(self, conn, reason):
+    def assert_closed(self, conn, reason):
         self.tree.until(lambda: self.closed)
         self.assertEqual([(conn, reason)], self.closed)
         with self.assertRaises(RuntimeError):
             self.conns.request(conn, "GET", "/", b"", (), 1000)
 
-    def test_a_connection_is_used_again_after_its_reply(self):
-        conn, peer = self.ask()
+    def test_connection_is_reused_after_its_reply(self):
+        conn, peer = self.send_request()
         head = b"POST /search HTTP/1.1\r\nHost: 127.0.0.1:%d\r\nX: y\r\nContent-Length: 2\r\n\r\n"
-        self.assertEqual(head % self.upstream.port + b"{}", peer.got)
+        self.assertEqual(head % self.upstream.port + b"{}", peer.received)
         peer.send(reply(b"one", b"Draining: 1"))
         self.tree.until(lambda: self.replies)
         self.assertEqual(
             (200, "1"), (self.replies[0][1].status, self.replies[0][1].headers["draining"])
         )
         self.conns.request(conn, "GET", "/health", b"", (), 5000)
-        peer.until_got(b"GET /health")
+        peer.wait_received(b"GET /health")
         peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n")
         self.tree.until(lambda: len(self.replies) == 2)
         self.assertEqual([(conn, b"one"), (conn, b"two")], self.bodies())
         self.assertEqual([], self.closed)
 
-    def test_a_reply_in_many_pieces_is_whole(self):
-        conn, peer = self.ask()
+    def test_reply_received_in_pieces_is_complete(self):
+        conn, peer = self.send_request()
         for byte in reply(b"abcdef"):
             peer.send(bytes([byte]))
             self.tree.root.tick(0.001)
         self.tree.until(lambda: self.replies)
         self.assertEqual([(conn, b"abcdef")], self.bodies())
 
-    def test_only_one_request_is_under_way(self):
-        conn, _ = self.ask()
+    def test_only_one_request_may_be_pending(self):
+        conn, _ = self.send_request()
         with self.assertRaises(RuntimeError):
             self.conns.request(conn, "GET", "/", b"", (), 1000)
         with self.assertRaises(RuntimeError):
             self.conns.request(conn + 1, "GET", "/", b"", (), 1000)
 
-    def test_a_late_reply_is_given_to_no_one(self):
-        conn, peer = self.ask(timeout_ms=50)
-        self.until_closed(conn, "timeout")
+    def test_late_reply_is_discarded(self):
+        conn, peer = self.send_request(timeout_ms=50)
+        self.assert_closed(conn, "timeout")
         peer.send(reply(b"late"))
         other, other_peer = self.connect()
         self.conns.request(other, "GET", "/", b"", (), 5000)
-        other_peer.until_got(b"GET /").send(reply(b"own"))
+        other_peer.wait_received(b"GET /").send(reply(b"own"))
         self.tree.until(lambda: self.replies)
         self.tree.settle()
         self.assertEqual([(other, b"own")], self.bodies())
 
-    def test_half_a_reply_is_no_reply(self):
-        conn, peer = self.ask(timeout_ms=50)
+    def test_incomplete_reply_is_not_delivered(self):
+        conn, peer = self.send_request(timeout_ms=50)
         peer.send(reply(b"whole")[:-1])
-        self.until_closed(conn, "timeout")
+        self.assert_closed(conn, "timeout")
         self.closed.clear()
-        conn, peer = self.ask()
+        conn, peer = self.send_request()
         peer.send(reply(b"whole")[:-1])
         peer.sock.close()
-        self.until_closed(conn, "peer")
+        self.assert_closed(conn, "peer")
         self.assertEqual([], self.replies)
 
-    def test_malformed_replies_close_the_connection(self):
+    def test_malformed_replies_close_connection(self):
         for sent in (
             b"hello\r\n\r\n",
             b"HTTP/1.1 200 OK\r\n\r\nno stated end",
@@ -102,23 +102,23 @@
         ):
             with self.subTest(sent[:60]):
                 self.closed.clear()
-                conn, peer = self.ask()
+                conn, peer = self.send_request()
                 peer.send(sent)
-                self.until_closed(conn, "malformed")
+                self.assert_closed(conn, "malformed")
         self.assertEqual([], self.replies)
 
-    def test_bytes_that_no_request_asked_for_close_the_connection(self):
+    def test_unsolicited_data_closes_connection(self):
         conn, peer = self.connect()
         peer.send(reply(b"unasked"))
-        self.until_closed(conn, "unasked")
+        self.assert_closed(conn, "unasked")
         self.closed.clear()
-        conn, peer = self.ask()
+        conn, peer = self.send_request()
         peer.send(reply(b"own") + reply(b"another's"))
-        self.until_closed(conn, "unasked")
+        self.assert_closed(conn, "unasked")
         self.assertEqual([(conn, b"own")], self.bodies())
 
-    def test_nothing_is_sent_where_something_unasked_or_the_end_waits(self):
-        for reason, act in (
+    def test_nothing_is_sent_after_unread_unsolicited_data_or_close(self):
+        for reason, disturb in (
             ("unasked", lambda peer: peer.send(reply(b"unasked"))),
             ("peer", lambda peer: peer.sock.close()),
         ):
@@ -126,39 +126,39 @@
                 self.closed.clear()
                 conn, peer = self.connect()
                 self.assertTrue(self.conns.reusable(conn))
-                act(peer)
+                disturb(peer)
                 self.assertFalse(self.conns.reusable(conn))
                 self.assertFalse(self.conns.request(conn, "GET", "/", b"", (), 5000))
-                self.until_closed(conn, reason)
+                self.assert_closed(conn, reason)
         self.assertEqual([], self.replies)
 
-    def test_a_connection_that_the_upstream_ends_is_not_reusable(self):
-        conn, peer = self.ask()
+    def test_connection_close_header_prevents_reuse(self):
+        conn, peer = self.send_request()
         peer.send(reply(b"last", b"Connection: close"))
         self.tree.until(lambda: self.replies)
         self.assertFalse(self.conns.reusable(conn))
-        self.until_closed(conn, "peer")
+        self.assert_closed(conn, "peer")
 
-    def test_interim_and_bodiless_replies_are_understood(self):
-        conn, peer = self.ask()
+    def test_interim_and_bodiless_replies(self):
+        conn, peer = self.send_request()
         peer.send(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
         self.tree.until(lambda: self.replies)
         self.assertEqual((204, b""), (self.replies[0][1].status, self.replies[0][1].body))
         self.conns.request(conn, "HEAD", "/", b"", (), 5000)
-        peer.until_got(b"HEAD /").send(reply(b"hidden")[: -len(b"hidden")])
+        peer.wait_received(b"HEAD /").send(reply(b"hidden")[: -len(b"hidden")])
         self.tree.until(lambda: len(self.replies) == 2)
         self.assertEqual(b"", self.replies[1][1].body)
         self.assertTrue(self.conns.reusable(conn))
 
-    def test_a_closed_connection_is_told_once(self):
-        conn, peer = self.ask()
+    def test_close_is_reported_once(self):
+        conn, peer = self.send_request()
         self.conns.close(conn)
         self.conns.close(conn)
         self.assertEqual([], self.closed)
-        peer.until_ended()
-        self.until_closed(conn, "local")
+        peer.wait_closed()
+        self.assert_closed(conn, "local")
 
-    def test_heads_that_would_smuggle_are_refused(self):
+    def test_request_smuggling_through_head_is_rejected(self):
         conn, _ = self.connect()
         for path, headers in (
             ("/a b", ()),
--- a/rhubarbhinge/web/tests/test_coding.py
+++ b/rhubarbhinge/web/tests/test_content_coding.py
@@ -1,4 +1,4 @@
-"""Content codings that a client takes."""
+"""Tests of content codings accepted by clients."""
 
 import gzip
 import unittest
@@ -14,33 +14,33 @@
     HttpServer,
     Reply,
     Response,
-    _coding,
+    _content_coding,
     _response_writing,
 )
-from rhubarbhinge.web._coding import decoded
+from rhubarbhinge.web._content_coding import decode_content
 
 LONG = b"the same again " * 1_000
 
 
 class DecodedTest(unittest.TestCase):
-    def test_a_compressed_body_is_restored(self):
+    def test_gzip_body_is_decoded(self):
         reply = Reply(200, {"content-encoding": "GZip"}, gzip.compress(LONG))
-        self.assertEqual(decoded(reply).body, LONG)
+        self.assertEqual(decode_content(reply).body, LONG)
 
-    def test_a_plain_body_stays(self):
+    def test_plain_body_is_unchanged(self):
         reply = Reply(200, {}, LONG)
-        self.assertIs(decoded(reply), reply)
+        self.assertIs(decode_content(reply), reply)
 
-    def test_what_is_cut_short_damaged_or_of_another_coding_is_no_body(self):
-        packed = gzip.compress(LONG)
-        for coding, body in (("gzip", packed[:-9]), ("gzip", LONG), ("br", packed)):
+    def test_truncated_corrupt_or_unknown_coding_is_rejected(self):
+        compressed = gzip.compress(LONG)
+        for coding, body in (("gzip", compressed[:-9]), ("gzip", LONG), ("br", compressed)):
             with self.subTest(coding=coding, start=body[:4]):
-                self.assertIsNone(decoded(Reply(200, {"content-encoding": coding}, body)))
+                self.assertIsNone(decode_content(Reply(200, {"content-encoding": coding}, body)))
 
-    def test_a_body_that_grows_beyond_the_bound_is_none(self):
+    def test_decoded_body_above_limit_is_rejected(self):
         reply = Reply(200, {"content-encoding": "gzip"}, gzip.compress(LONG))
-        with mock.patch.object(_coding, "MOST_BODY_BYTES", len(LONG) - 1):
-            self.assertIsNone(decoded(reply))
+        with mock.patch.object(_content_coding, "MAX_DECODED_BYTES", len(LONG) - 1):
+            self.assertIsNone(decode_content(reply))
 
 
 class ClientTest(unittest.TestCase):
@@ -53,10 +53,10 @@
         outcomes = []
         for _ in range(2):
             client.call("127.0.0.1", server.bound_port, "GET", "/x", on_done=outcomes.append)
-        self.assertTrue(run_until(root, lambda: len(outcomes) == 2), "the bound was reached")
+        self.assertTrue(run_until(root, lambda: len(outcomes) == 2), "timed out")
         return outcomes, server
 
-    def test_only_a_client_that_takes_it_gets_a_compressed_body_which_it_restores(self):
+    def test_only_client_that_accepts_gzip_gets_compressed_body(self):
         sent = {}
         for takes_gzip in (False, True):
             outcomes, server = self.call(
@@ -66,13 +66,15 @@
             sent[takes_gzip] = server.sent_bytes
         self.assertLess(10 * sent[True], sent[False])
 
-    def test_a_body_that_goes_to_several_is_compressed_once(self):
+    def test_body_sent_repeatedly_is_compressed_once(self):
         body = LONG + b"once"
-        with mock.patch.object(_response_writing.gzip, "compress", wraps=gzip.compress) as packed:
+        with mock.patch.object(
+            _response_writing.gzip, "compress", wraps=gzip.compress
+        ) as compressed:
             self.call(True, lambda request, responder: responder.answer(Response(200, body)))
-        self.assertEqual(packed.call_count, 1)
+        self.assertEqual(compressed.call_count, 1)
 
-    def test_a_body_that_can_not_be_decoded_is_a_failure(self):
+    def test_undecodable_body_is_failure(self):
         broken = Response(200, LONG, (("Content-Encoding", "br"),))
         outcomes, _ = self.call(True, lambda request, responder: responder.answer(broken))
         self.assertEqual([type(outcome) for outcome in outcomes], [Failure, Failure])
--- a/rhubarbhinge/web/tests/test_parsers.py
+++ b/rhubarbhinge/web/tests/test_parsers.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.web import HttpLimits, Reply, Request
-from rhubarbhinge.web._parser import Refusal, RequestParser
 from rhubarbhinge.web._reply_parser import ReplyFault, ReplyParser
+from rhubarbhinge.web._request_parser import Refusal, RequestParser
 
-FIELDS = st.sampled_from(
+HEADER_LINES = st.sampled_from(
     b"Content-Length: 3\r\n|content-length: 0\r\n|Content-Length: 03\r\n|Content-Length:3\r\n|"
     b"CONTENT-LENGTH: 12\r\n|Transfer-Encoding: chunked\r\n|Connection: close\r\n|"
     b"Expect: 100-continue\r\n|X: Content-Length: 3\r\n|X: y\r\n|X: y\n|X y\r\n| folded\r\n|"
@@ -21,18 +21,18 @@
     [b"GET /a?b=c HTTP/1.1", b"POST / HTTP/1.1", b"PUT / HTTP/1.0", b"X"]
 )
 STATUS_LINES = st.sampled_from([b"HTTP/1.1 200 OK", b"HTTP/1.0 200 OK", b"HTTP/1.1 503 ", b"X 200"])
-CUTS = st.lists(st.integers(0, 200), max_size=4)
-REPEATABLE = settings(derandomize=True, deadline=None, database=None, max_examples=300)
+CUT_POSITIONS = st.lists(st.integers(0, 200), max_size=4)
+DETERMINISTIC = settings(derandomize=True, deadline=None, database=None, max_examples=300)
 
 
-def pieces(data, cuts):
-    edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
+def split_at(data, positions):
+    edges = sorted({0, len(data), *(cut for cut in positions if cut < len(data))})
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
 
-def read_request(data, cuts):
+def read_request(data, positions):
     parser = RequestParser(HttpLimits(), "127.0.0.1")
-    for piece in pieces(data, cuts):
+    for piece in split_at(data, positions):
         parser.feed(piece)
         outcome = parser.next()
         if isinstance(outcome, Refusal):
@@ -43,9 +43,9 @@
     return None
 
 
-def read_reply(data, cuts):
+def read_reply(data, positions):
     parser = ReplyParser("POST")
-    for piece in pieces(data, cuts):
+    for piece in split_at(data, positions):
         outcome = parser.feed(piece)
         if isinstance(outcome, ReplyFault):
             return outcome
@@ -56,7 +56,7 @@
 
 
 class ParsersTest(unittest.TestCase):
-    def test_the_first_request_of_a_connection_has_waited_for_the_handshake(self):
+    def test_transit_time_of_first_request_includes_handshake(self):
         parser = RequestParser(HttpLimits(), "127.0.0.1", round_trip_ms=6.0)
         transits_ms = []
         for _ in range(3):
@@ -65,20 +65,24 @@
             parser.finish()
         self.assertEqual(transits_ms, [12.0, 6.0, 6.0])
 
-    @given(REQUEST_LINES, st.lists(FIELDS, max_size=4), BODIES, CUTS)
-    @REPEATABLE
-    def test_a_kept_request_form_says_what_a_full_parse_says(self, line, fields, body, cuts):
+    @given(REQUEST_LINES, st.lists(HEADER_LINES, max_size=4), BODIES, CUT_POSITIONS)
+    @DETERMINISTIC
+    def test_cached_request_head_equals_h11_parse(self, line, fields, body, positions):
         data = line + b"\r\nHost: a\r\n" + b"".join(fields) + b"\r\n" + body
-        kept = read_request(data, cuts)
-        with mock.patch("rhubarbhinge.web._parser.read_plain_request_head", return_value=None):
-            full = read_request(data, [])
-        self.assertEqual(full, kept)
+        cached = read_request(data, positions)
+        with mock.patch(
+            "rhubarbhinge.web._request_parser.parse_cacheable_request_head", return_value=None
+        ):
+            parsed = read_request(data, [])
+        self.assertEqual(parsed, cached)
 
-    @given(STATUS_LINES, st.lists(FIELDS, max_size=4), BODIES, CUTS)
-    @REPEATABLE
-    def test_a_kept_reply_form_says_what_a_full_parse_says(self, line, fields, body, cuts):
+    @given(STATUS_LINES, st.lists(HEADER_LINES, max_size=4), BODIES, CUT_POSITIONS)
+    @DETERMINISTIC
+    def test_cached_reply_head_equals_h11_parse(self, line, fields, body, positions):
         data = line + b"\r\n" + b"".join(fields) + b"\r\n" + body
-        kept = read_reply(data, cuts)
-        with mock.patch("rhubarbhinge.web._reply_parser.read_plain_reply_head", return_value=None):
-            full = read_reply(data, [])
-        self.assertEqual(full, kept)
+        cached = read_reply(data, positions)
+        with mock.patch(
+            "rhubarbhinge.web._reply_parser.parse_cacheable_reply_head", return_value=None
+        ):
+            parsed = read_reply(data, [])
+        self.assertEqual(parsed, cached)
--- a/rhubarbhinge/web/tests/test_server.py
+++ b/rhubarbhinge/web/tests/test_server.py
@@ -27,70 +27,72 @@
         if self.answer:
             responder.answer(Response(200, request.path.encode()))
 
-    def refused(self, sent, status, code, limits=None):
-        caller = self.serve(limits).send(sent).until_ended()
-        head, _, body = caller.got.partition(b"\r\n\r\n")
+    def assert_rejected(self, sent, status, code, limits=None):
+        client = self.serve(limits).send(sent).wait_closed()
+        head, _, body = client.received.partition(b"\r\n\r\n")
         self.assertTrue(head.startswith(b"HTTP/1.1 %d " % status), head)
         error = orjson.loads(body)["error"]
         self.assertEqual(code, error["code"])
         self.assertTrue(error["message"] and error["todo"])
-        self.assertNotRegex(caller.got.lower(), b"h11|circuits|traceback|python")
+        self.assertNotRegex(client.received.lower(), b"h11|circuits|traceback|python")
         self.assertEqual([], self.requests)
 
-    def test_an_answer_may_come_much_later(self):
-        caller = self.serve(answer=False).send(GET % b"/a?b=c%20d")
+    def test_response_may_be_sent_after_handler_returned(self):
+        client = self.serve(answer=False).send(GET % b"/a?b=c%20d")
         self.tree.until(lambda: self.responders)
         self.tree.settle()
-        self.assertEqual((b"", 1), (caller.poll(), self.server.open_requests))
+        self.assertEqual((b"", 1), (client.poll(), self.server.open_requests))
         self.assertEqual(("/a", {"b": "c d"}), (self.requests[0].path, self.requests[0].query))
         self.assertEqual(LOOPBACK, self.requests[0].peer_ip)
         self.responders[0].answer(Response(200, b"late"))
-        caller.until_got(b"\r\n\r\nlate")
+        client.wait_received(b"\r\n\r\nlate")
         self.assertEqual(0, self.server.open_requests)
         with self.assertRaises(RuntimeError):
             self.responders[0].answer(Response(200))
 
-    def test_an_answer_is_written_at_once(self):
-        # The rest of the loop turn may take an entry that is short of processor time 10 ms.
-        caller = self.serve(answer=False).send(GET % b"/a")
+    def test_response_is_written_immediately(self):
+        # The rest of the loop iteration may take 10 ms in an entry that is short of CPU time.
+        client = self.serve(answer=False).send(GET % b"/a")
         self.tree.until(lambda: self.responders)
         self.responders[0].answer(Response(200, b"now"))
         self.assertEqual(0, self.server.unsent_bytes)
-        caller.until_got(b"\r\n\r\nnow")
+        client.wait_received(b"\r\n\r\nnow")
 
-    def test_pipelined_requests_are_answered_in_order_one_at_a_time(self):
-        caller = self.serve(answer=False)
-        caller.send(GET % b"/1" + POST % b"Content-Length: 2" + b"xy" + GET % b"/3")
+    def test_pipelined_requests_are_handled_in_order_one_at_a_time(self):
+        client = self.serve(answer=False)
+        client.send(GET % b"/1" + POST % b"Content-Length: 2" + b"xy" + GET % b"/3")
         for count in (1, 2, 3):
             self.tree.until(lambda count=count: len(self.responders) == count)
             self.tree.settle()
             self.assertEqual(1, self.server.open_requests)
             self.responders[-1].answer(Response(200, b"answer-%d" % count))
-        caller.until_got(b"answer-1", b"answer-2", b"answer-3")
-        self.assertLess(caller.got.index(b"answer-1"), caller.got.index(b"answer-2"))
-        self.assertLess(caller.got.index(b"answer-2"), caller.got.index(b"answer-3"))
+        client.wait_received(b"answer-1", b"answer-2", b"answer-3")
+        self.assertLess(client.received.index(b"answer-1"), client.received.index(b"answer-2"))
+        self.assertLess(client.received.index(b"answer-2"), client.received.index(b"answer-3"))
         self.assertEqual(b"xy", self.requests[1].body)
 
-    def test_a_request_in_many_pieces_is_whole(self):
-        caller = self.serve()
+    def test_request_received_in_pieces_is_complete(self):
+        client = self.serve()
         for byte in POST % b"Transfer-Encoding: chunked" + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n":
-            caller.send(bytes([byte]))
+            client.send(bytes([byte]))
             self.tree.root.tick(0.001)
-        caller.until_got(b"200 OK")
+        client.wait_received(b"200 OK")
         self.assertEqual(b"abcde", self.requests[0].body)
-        caller.send(GET % b"/again").until_got(b"/again")
+        client.send(GET % b"/again").wait_received(b"/again")
 
-    def test_large_headers_are_refused(self):
+    def test_large_headers_are_rejected(self):
         big = b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 200_000
-        self.refused(big, 431, "header-too-large")
-        self.refused(big + b"\r\n\r\n", 431, "header-too-large")
+        self.assert_rejected(big, 431, "header-too-large")
+        self.assert_rejected(big + b"\r\n\r\n", 431, "header-too-large")
 
-    def test_large_bodies_are_refused_at_once(self):
-        self.refused(POST % b"Content-Length: 99999999999", 413, "body-too-large")
+    def test_large_bodies_are_rejected_early(self):
+        self.assert_rejected(POST % b"Content-Length: 99999999999", 413, "body-too-large")
         chunks = b"7d1\r\n" + b"x" * 2001
-        self.refused(POST % b"Transfer-Encoding: chunked" + chunks, 413, "body-too-large", SMALL)
+        self.assert_rejected(
+            POST % b"Transfer-Encoding: chunked" + chunks, 413, "body-too-large", SMALL
+        )
 
-    def test_odd_lengths_are_refused(self):
+    def test_invalid_body_lengths_are_rejected(self):
         for fields in (
             b"Content-Length: -5",
             b"Content-Length: +5",
@@ -105,9 +107,9 @@
             with self.subTest(fields):
                 status = 501 if b"gzip" in fields else 400
                 code = "unsupported-coding" if b"gzip" in fields else "malformed-request"
-                self.refused(POST % fields + b"hello", status, code)
+                self.assert_rejected(POST % fields + b"hello", status, code)
 
-    def test_malformed_requests_are_refused(self):
+    def test_malformed_requests_are_rejected(self):
         for sent in (
             b"hello\r\n\r\n",
             b"GET / HTTP/1.1\r\n\r\n",
@@ -117,101 +119,112 @@
             b"\x16\x03\x01\x02\x00\x01\r\n\r\n",
         ):
             with self.subTest(sent):
-                self.refused(sent, 400, "malformed-request")
+                self.assert_rejected(sent, 400, "malformed-request")
 
-    def test_slow_headers_bodies_and_idle_connections_are_closed(self):
+    def test_header_body_and_idle_timeouts_close_connection(self):
         self.serve(SMALL)
         port = self.server.bound_port
-        self.tree.connect(port).send(b"GET / HT").until_ended()
-        self.tree.connect(port).send(POST % b"Content-Length: 9" + b"x").until_ended()
-        self.tree.connect(port).send(GET % b"/done").until_got(b"/done").until_ended()
+        self.tree.connect(port).send(b"GET / HT").wait_closed()
+        self.tree.connect(port).send(POST % b"Content-Length: 9" + b"x").wait_closed()
+        self.tree.connect(port).send(GET % b"/done").wait_received(b"/done").wait_closed()
         self.assertEqual(["/done"], [request.path for request in self.requests])
 
-    def test_bytes_that_trickle_do_not_prolong_the_bound(self):
-        caller = self.serve(SMALL)
+    def test_trickled_bytes_do_not_extend_timeout(self):
+        client = self.serve(SMALL)
 
-        caller.send(b"GET / HTTP/1.1\r\nX: ")
-        self.tree.until(lambda: caller.send(b"x").poll() is not None and caller.ended)
+        client.send(b"GET / HTTP/1.1\r\nX: ")
+        self.tree.until(lambda: client.send(b"x").poll() is not None and client.closed)
 
-    def test_a_slow_answer_is_no_idle_connection(self):
-        caller = self.serve(SMALL, answer=False).send(GET % b"/")
+    def test_connection_with_pending_response_is_not_idle(self):
+        client = self.serve(SMALL, answer=False).send(GET % b"/")
         self.tree.until(lambda: self.responders)
         self.tree.settle()
         self.tree.settle()
         self.responders[0].answer(Response(200, b"kept"))
-        caller.until_got(b"kept")
+        client.wait_received(b"kept")
 
-    def test_connections_above_the_cap_get_503(self):
-        kept = [self.serve(HttpLimits(connections=2)), self.tree.connect(self.server.bound_port)]
+    def test_connections_above_limit_get_503(self):
+        persistent = [
+            self.serve(HttpLimits(connections=2)),
+            self.tree.connect(self.server.bound_port),
+        ]
         self.tree.settle()
-        over = self.tree.connect(self.server.bound_port).until_ended()
-        self.assertTrue(over.got.startswith(b"HTTP/1.1 503 "))
-        self.assertIn(b"too-many-connections", over.got)
-        kept[0].sock.close()
+        rejected = self.tree.connect(self.server.bound_port).wait_closed()
+        self.assertTrue(rejected.received.startswith(b"HTTP/1.1 503 "))
+        self.assertIn(b"too-many-connections", rejected.received)
+        persistent[0].sock.close()
         self.tree.settle()
-        self.tree.connect(self.server.bound_port).send(GET % b"/new").until_got(b"/new")
+        self.tree.connect(self.server.bound_port).send(GET % b"/new").wait_received(b"/new")
 
-    def test_bytes_sent_far_ahead_of_the_answer_close_the_connection(self):
-        caller = self.serve(SMALL, answer=False).send(GET % b"/" + b"x" * 4000).until_ended()
-        self.assertEqual(b"", caller.got)
+    def test_exceeding_read_ahead_limit_closes_connection(self):
+        client = self.serve(SMALL, answer=False).send(GET % b"/" + b"x" * 4000).wait_closed()
+        self.assertEqual(b"", client.received)
 
-    def test_the_request_of_a_caller_that_has_left_is_not_begun(self):
-        caller = self.serve()
-        caller.send(GET % b"/late").sock.close()
+    def test_request_of_disconnected_client_is_not_handled(self):
+        client = self.serve()
+        client.send(GET % b"/late").sock.close()
         self.tree.settle()
         self.assertEqual(([], 0), (self.requests, self.server.open_requests))
 
-    def test_a_caller_that_goes_is_told_once(self):
-        gone = []
-        caller = self.serve(answer=False).send(GET % b"/")
+    def test_client_disconnect_is_reported_once(self):
+        disconnects = []
+        client = self.serve(answer=False).send(GET % b"/")
         self.tree.until(lambda: self.responders)
-        self.responders[0].on_abandoned(lambda: gone.append(1))
-        caller.sock.close()
-        self.tree.until(lambda: gone)
+        self.responders[0].on_abandoned(lambda: disconnects.append(1))
+        client.sock.close()
+        self.tree.until(lambda: disconnects)
         self.assertEqual(0, self.server.open_requests)
         self.responders[0].answer(Response(200))
         self.tree.settle()
-        self.assertEqual(([1], 0), (gone, self.server.open_requests))
+        self.assertEqual(([1], 0), (disconnects, self.server.open_requests))
 
-    def test_large_answers_are_compressed_for_those_who_accept_it(self):
+    def test_large_responses_are_compressed_if_accepted(self):
         body = b"x" * 300
-        for accept, packed in ((b"gzip", True), (b"br, GZIP;q=0.5", True), (b"gzip;q=0", False)):
-            caller = self.serve(SMALL, answer=False)
-            caller.send(b"GET / HTTP/1.1\r\nHost: a\r\nAccept-Encoding: %b\r\n\r\n" % accept)
+        for accept, compressed in (
+            (b"gzip", True),
+            (b"br, GZIP;q=0.5", True),
+            (b"gzip;q=0", False),
+        ):
+            client = self.serve(SMALL, answer=False)
+            client.send(b"GET / HTTP/1.1\r\nHost: a\r\nAccept-Encoding: %b\r\n\r\n" % accept)
             self.tree.until(lambda: self.responders)
             self.responders[0].answer(Response(200, body))
-            caller.until_got(b"\r\n\r\n")
-            head, _, got = caller.got.partition(b"\r\n\r\n")
-            self.assertEqual(packed, b"Content-Encoding: gzip" in head)
-            self.assertEqual(body, gzip.decompress(got) if packed else got)
-
-    def test_a_caller_that_waits_with_its_body_is_told_to_go_on(self):
-        caller = self.serve().send(POST % b"Content-Length: 2\r\nExpect: 100-continue")
-        caller.until_got(b"HTTP/1.1 100 Continue\r\n\r\n").send(b"ok").until_got(b" 200 OK")
+            client.wait_received(b"\r\n\r\n")
+            head, _, content = client.received.partition(b"\r\n\r\n")
+            self.assertEqual(compressed, b"Content-Encoding: gzip" in head)
+            self.assertEqual(body, gzip.decompress(content) if compressed else content)
+
+    def test_expect_continue_gets_interim_response(self):
+        client = self.serve().send(POST % b"Content-Length: 2\r\nExpect: 100-continue")
+        client.wait_received(b"HTTP/1.1 100 Continue\r\n\r\n").send(b"ok").wait_received(b" 200 OK")
         self.assertEqual(b"ok", self.requests[0].body)
-        caller.send(POST % b"Transfer-Encoding: chunked\r\nExpect: 100-continue")
-        self.tree.until(lambda: caller.poll().count(b"100 Continue") == 2)
+        client.send(POST % b"Transfer-Encoding: chunked\r\nExpect: 100-continue")
+        self.tree.until(lambda: client.poll().count(b"100 Continue") == 2)
 
-    def test_answers_without_a_body_have_none(self):
-        caller = self.serve(answer=False).send(b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\n")
-        caller.send(GET % b"/")
+    def test_head_and_204_responses_have_no_body(self):
+        client = self.serve(answer=False).send(b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\n")
+        client.send(GET % b"/")
         self.tree.until(lambda: self.responders)
         self.responders[0].answer(Response(200, b"hidden"))
         self.tree.until(lambda: len(self.responders) == 2)
         self.responders[1].answer(Response(204))
-        caller.until_got(b"Content-Length: 6\r\n", b" 204 ")
-        self.assertNotIn(b"hidden", caller.got)
-        self.assertTrue(caller.got.endswith(b"HTTP/1.1 204 No Content\r\n\r\n"), caller.got)
-
-    def test_connections_end_after_the_answer_when_asked_or_stopping(self):
-        caller = self.serve()
-        caller.send(b"GET /c HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").until_ended()
-        self.assertIn(b"Connection: close", caller.got)
-        old = self.tree.connect(self.server.bound_port).send(b"GET /o HTTP/1.0\r\n\r\n")
-        self.assertTrue(old.until_ended().got.endswith(b"/o"))
-        kept = self.tree.connect(self.server.bound_port).send(GET % b"/1").until_got(b"/1")
+        client.wait_received(b"Content-Length: 6\r\n", b" 204 ")
+        self.assertNotIn(b"hidden", client.received)
+        self.assertTrue(
+            client.received.endswith(b"HTTP/1.1 204 No Content\r\n\r\n"), client.received
+        )
+
+    def test_connection_closes_after_response_on_request_or_stop(self):
+        client = self.serve()
+        client.send(b"GET /c HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").wait_closed()
+        self.assertIn(b"Connection: close", client.received)
+        http_1_0 = self.tree.connect(self.server.bound_port).send(b"GET /o HTTP/1.0\r\n\r\n")
+        self.assertTrue(http_1_0.wait_closed().received.endswith(b"/o"))
+        persistent = (
+            self.tree.connect(self.server.bound_port).send(GET % b"/1").wait_received(b"/1")
+        )
         self.server.stop_listening()
-        kept.send(GET % b"/2").until_ended()
-        self.assertIn(b"/2", kept.got)
+        persistent.send(GET % b"/2").wait_closed()
+        self.assertIn(b"/2", persistent.received)
         with self.assertRaises(ConnectionRefusedError):
             self.tree.connect(self.server.bound_port)
