--- a/rhubarbhinge/net/_socket_callback.py
+++ b/rhubarbhinge/net/_socket_callback.py
@@ -20,8 +20,8 @@
     :param arguments: its positional arguments.
     """
     try:
-        if timers.asleep:
-            timers.wake()
+        if timers.is_polling:
+            timers.poll_returned()
         callback(*arguments)
     except Exception as error:
         fail_stop(error)
--- a/rhubarbhinge/net/tests/test_links.py
+++ b/rhubarbhinge/net/tests/test_links.py
@@ -202,7 +202,7 @@
         endpoint.links._on_data = lambda link, data: seen.append("data")
         peer = socket.create_connection((LOOPBACK, endpoint.links.bound_port))
         self.addCleanup(peer.close)
-        self.until(lambda: endpoint.opened and timers.asleep)
+        self.until(lambda: endpoint.opened and timers.is_polling)
         peer.send(b"x")
         now_ms += 5000
         self.until(lambda: "data" in seen)
--- a/rhubarbhinge/timing/__init__.py
+++ b/rhubarbhinge/timing/__init__.py
@@ -1,6 +1,6 @@
-"""Timers that parts subscribe to, and detection of pauses of the process."""
+"""Timers in the event loop, and detection of pauses of the process."""
 
-from rhubarbhinge.timing._service import DEFAULT_PAUSE_BOUND_MS, TimerService
+from rhubarbhinge.timing._service import DEFAULT_PAUSE_THRESHOLD_MS, TimerService
 from rhubarbhinge.timing._subscription import Subscription
 
-__all__ = ["DEFAULT_PAUSE_BOUND_MS", "Subscription", "TimerService"]
+__all__ = ["DEFAULT_PAUSE_THRESHOLD_MS", "Subscription", "TimerService"]
--- a/rhubarbhinge/timing/_service.py
+++ b/rhubarbhinge/timing/_service.py
@@ -1,4 +1,4 @@
-"""The timer service: one heap of timers in the loop of a circuits tree."""
+"""The timer service: a heap of timers in the event loop of a circuits component tree."""
 
 import heapq
 import itertools
@@ -10,24 +10,24 @@
 from rhubarbhinge.timing._subscription import Subscription
 from rhubarbhinge.utils.failstop import fail_stop
 
-DEFAULT_PAUSE_BOUND_MS = 500.0
-"""Lateness of a loop turn, in milliseconds, above which the process counts as paused."""
+DEFAULT_PAUSE_THRESHOLD_MS = 500.0
+"""Delay of an event loop iteration, in milliseconds, above which the process counts as paused."""
 
 RUN_PRIORITY = 9
-"""Due timers run before other ``generate_events`` handlers, which may write what timers send."""
+"""Due timers run before other ``generate_events`` handlers, which may write data sent by timers."""
 
-SLEEP_PRIORITY = -8
-"""The sleep is worked out just before the poller's own handler, which has priority -9."""
+BEFORE_POLL_PRIORITY = -8
+"""The poll timeout is computed just before the poller's own handler, which has priority -9."""
 
-COMPACT_LEAST = 64
-"""Cancelled timers are swept out of the heap once more than these, and half of it, are dead."""
+MIN_CANCELLED_TO_COMPACT = 64
+"""Cancelled timers are removed once they exceed this number and half of the heap."""
 
 
 def monotonic_ms() -> float:
-    """Read the monotonic clock that goes on while the machine is suspended.
+    """Read the monotonic clock that includes time during which the machine is suspended.
 
-    ``CLOCK_MONOTONIC`` stands still then, so that a suspended VM would wake up believing in tickets
-    and deadlines that are over.
+    ``CLOCK_MONOTONIC`` stops during suspension, so that a resumed VM would still accept tickets and
+    deadlines that have expired.
 
     :returns: milliseconds since an arbitrary start.
     """
@@ -35,10 +35,11 @@
 
 
 class TimerService(BaseComponent):
-    """Calls subscribers when their time has come, and after a pause of the process.
+    """Runs callbacks when timers are due, and after pauses of the process.
 
-    :param clock: returns monotonic milliseconds.
-    :param pause_bound_ms: lateness of a loop turn above which the process counts as paused.
+    :param clock: returns the monotonic time in milliseconds.
+    :param pause_threshold_ms: delay of an event loop iteration above which the process counts as
+        paused.
     """
 
     channel = "timing"
@@ -46,91 +47,95 @@
     def __init__(
         self,
         clock: Callable[[], float] = monotonic_ms,
-        pause_bound_ms: float = DEFAULT_PAUSE_BOUND_MS,
+        pause_threshold_ms: float = DEFAULT_PAUSE_THRESHOLD_MS,
     ):
         super().__init__()
         self.now_ms = clock
-        self.asleep = False
-        self._pause_bound_ms = pause_bound_ms
+        self.is_polling = False
+        self._pause_threshold_ms = pause_threshold_ms
         self._heap: list[tuple[float, int, Subscription]] = []
         self._sequence = itertools.count()
-        self._dead = 0
-        self._on_pause: list[Callable[[float], None]] = []
-        self._last_ms: float | None = None
-        self._asked_ms: float | None = 0.0
-        self._reads_first = False
+        self._cancelled_count = 0
+        self._pause_callbacks: list[Callable[[float], None]] = []
+        self._last_check_ms: float | None = None
+        self._requested_wait_ms: float | None = 0.0
+        self._is_deferring_timers = False
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Subscription:
-        """Call back once.
+        """Schedule a callback to run once.
 
-        :param delay_ms: how long from now, in milliseconds.
+        :param delay_ms: delay in milliseconds.
         :param callback: called without arguments.
-        :returns: the handle to cancel it by.
+        :returns: a handle to cancel the timer with.
         """
-        subscription = Subscription(callback, None, self._cancelled)
+        subscription = Subscription(callback, None, self._count_cancelled)
         self._push(self.now_ms() + delay_ms, subscription)
         return subscription
 
     def every(self, period_ms: float, callback: Callable[[], None]) -> Subscription:
-        """Call back at a period, first after one period; periods missed in a pause are skipped.
+        """Schedule a callback to run periodically, first after one period.
 
-        :param period_ms: the period in milliseconds, above 0.
+        Periods missed during a pause are skipped.
+
+        :param period_ms: the period in milliseconds, greater than 0.
         :param callback: called without arguments.
-        :returns: the handle to cancel it by.
+        :returns: a handle to cancel the timer with.
+        :raises ValueError: if the period is not positive.
         """
         if period_ms <= 0:
-            raise ValueError("a period is above 0 ms")
-        subscription = Subscription(callback, period_ms, self._cancelled)
+            raise ValueError("the period must be greater than 0 ms")
+        subscription = Subscription(callback, period_ms, self._count_cancelled)
         self._push(self.now_ms() + period_ms, subscription)
         return subscription
 
     def on_pause(self, callback: Callable[[float], None]) -> None:
-        """Subscribe to pauses: called before any due timer and any data that came in meanwhile.
+        """Register a callback for pauses of the process.
 
-        Data that came in is read before timers that became due are called.
+        It runs before due timers and before data received during the pause is read. After a pause,
+        this data is read before timers that became due are run.
 
-        While anyone subscribes, the loop sleeps no longer than the bound at a time.
+        With at least one such callback, the event loop never waits longer than the pause threshold.
 
-        :param callback: given the lateness of the loop turn in milliseconds.
+        :param callback: called with the delay of the event loop iteration in milliseconds.
         """
-        self._on_pause.append(callback)
+        self._pause_callbacks.append(callback)
 
-    def wake(self) -> None:
-        """Note that the poll has returned; owners of sockets call this when :attr:`asleep`."""
-        self.asleep = False
-        self._note_gap(self.now_ms(), self._asked_ms)
+    def poll_returned(self) -> None:
+        """Record that polling has ended; socket owners call this if :attr:`is_polling` is set."""
+        self.is_polling = False
+        self._check_for_pause(self.now_ms(), self._requested_wait_ms)
 
     @handler("generate_events", priority=RUN_PRIORITY)
-    def _on_turn(self, event) -> None:
-        if self.asleep:
-            self.wake()
+    def _on_iteration(self, event) -> None:
+        if self.is_polling:
+            self.poll_returned()
         now_ms = self.now_ms()
-        was_paused = self._note_gap(now_ms, 0.0)
-        # Deadlines that passed in a pause would end requests whose replies wait to be read.
-        self._reads_first = was_paused and not self._reads_first
-        if not self._reads_first and self._heap and self._heap[0][0] <= now_ms:
+        was_paused = self._check_for_pause(now_ms, 0.0)
+        # Deadlines that expired during a pause would fail requests whose replies are still unread.
+        self._is_deferring_timers = was_paused and not self._is_deferring_timers
+        if not self._is_deferring_timers and self._heap and self._heap[0][0] <= now_ms:
             self._run_due(now_ms)
 
-    @handler("generate_events", priority=SLEEP_PRIORITY)
-    def _on_sleep(self, event) -> None:
+    @handler("generate_events", priority=BEFORE_POLL_PRIORITY)
+    def _before_poll(self, event) -> None:
         now_ms = self.now_ms()
-        self._note_gap(now_ms, 0.0)
+        self._check_for_pause(now_ms, 0.0)
         if self._heap:
             event.reduce_time_left(max(0.0, self._heap[0][0] - now_ms) / 1e3)
-        if self._on_pause:
-            event.reduce_time_left(self._pause_bound_ms / 1e3)
-        left_s = event.time_left
-        self._asked_ms = None if left_s < 0 else left_s * 1e3
-        self.asleep = True
-
-    def _note_gap(self, now_ms: float, asked_ms: float | None) -> bool:
-        last_ms, self._last_ms = self._last_ms, now_ms
-        if last_ms is None or asked_ms is None:
+        if self._pause_callbacks:
+            event.reduce_time_left(self._pause_threshold_ms / 1e3)
+        wait_s = event.time_left
+        self._requested_wait_ms = None if wait_s < 0 else wait_s * 1e3
+        self.is_polling = True
+
+    def _check_for_pause(self, now_ms: float, requested_wait_ms: float | None) -> bool:
+        last_check_ms, self._last_check_ms = self._last_check_ms, now_ms
+        if last_check_ms is None or requested_wait_ms is None:
             return False
-        late_ms = now_ms - last_ms - asked_ms
-        is_pause = late_ms > self._pause_bound_ms
+        late_ms = now_ms - last_check_ms - requested_wait_ms
+        is_pause = late_ms > self._pause_threshold_ms
         if is_pause:
-            self._tell_pause(late_ms)
+            self._report_pause(late_ms)
         return is_pause
 
     def _run_due(self, now_ms: float) -> None:
@@ -141,7 +146,7 @@
             if subscription.active:
                 self._run(due_ms, now_ms, subscription)
             else:
-                self._dead = max(0, self._dead - 1)
+                self._cancelled_count = max(0, self._cancelled_count - 1)
 
     def _run(self, due_ms: float, now_ms: float, subscription: Subscription) -> None:
         period_ms = subscription.period_ms
@@ -155,9 +160,9 @@
         except Exception as error:
             fail_stop(error)
 
-    def _tell_pause(self, late_ms: float) -> None:
+    def _report_pause(self, late_ms: float) -> None:
         try:
-            for callback in self._on_pause:
+            for callback in self._pause_callbacks:
                 callback(late_ms)
         except Exception as error:
             fail_stop(error)
@@ -165,9 +170,11 @@
     def _push(self, due_ms: float, subscription: Subscription) -> None:
         heapq.heappush(self._heap, (due_ms, next(self._sequence), subscription))
 
-    def _cancelled(self) -> None:
-        self._dead += 1
-        if self._dead > COMPACT_LEAST and self._dead * 2 > len(self._heap):
+    def _count_cancelled(self) -> None:
+        self._cancelled_count += 1
+        if self._cancelled_count > MIN_CANCELLED_TO_COMPACT and self._cancelled_count * 2 > len(
+            self._heap
+        ):
             self._heap = [entry for entry in self._heap if entry[2].active]
             heapq.heapify(self._heap)
-            self._dead = 0
+            self._cancelled_count = 0
--- a/rhubarbhinge/timing/_subscription.py
+++ b/rhubarbhinge/timing/_subscription.py
@@ -1,14 +1,14 @@
-"""A handle on a timer."""
+"""Handle of a scheduled timer."""
 
 from collections.abc import Callable
 
 
 class Subscription:
-    """A timer that is due once or at a period, until cancelled.
+    """A timer that runs once or periodically until it is cancelled.
 
-    :param callback: called without arguments when due.
-    :param period_ms: the period in milliseconds, or None for a timer that is due once.
-    :param on_cancel: called on the first cancel of an active timer.
+    :param callback: called without arguments when the timer is due.
+    :param period_ms: the period in milliseconds; None for a timer that runs once.
+    :param on_cancel: called when an active timer is cancelled.
     """
 
     __slots__ = ("active", "callback", "period_ms", "_on_cancel")
@@ -25,12 +25,12 @@
         self._on_cancel = on_cancel
 
     def cancel(self) -> None:
-        """Make sure that the callback is not called any more; harmless when repeated."""
+        """Cancel the timer; may be called more than once."""
         if self.active:
             self.active = False
-            self.callback = _nothing
+            self.callback = _do_nothing
             self._on_cancel()
 
 
-def _nothing() -> None:
-    """Stand in for the callback of a cancelled timer, whose own state can be freed."""
+def _do_nothing() -> None:
+    """Replaces the callback of a cancelled timer, so that objects it refers to can be freed."""
--- a/rhubarbhinge/utils/__init__.py
+++ b/rhubarbhinge/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers that several subpackages share."""
+"""Helpers shared by several subpackages."""
--- a/rhubarbhinge/utils/bounded_types.py
+++ b/rhubarbhinge/utils/bounded_types.py
@@ -1,40 +1,40 @@
-"""Types of fields that come from outside, with the bounds that later code relies on.
+"""Types of external data, with the bounds that other code relies on.
 
-They say what a strict decoder checks (:mod:`rhubarbhinge.utils.strict_json`); code of this process
-that makes a value itself is trusted.
+The bounds are checked by strict decoders (:mod:`rhubarbhinge.utils.strict_json`). Values that this
+process creates itself are not checked.
 """
 
 from typing import Annotated
 
 from msgspec import Meta
 
-MOST_NAME_CHARS = 200
-"""Longest name of a VM, service, failure domain or searcher; names of hosts have at most 253."""
-MOST_COUNT = (1 << 53) - 1
-"""Greatest whole number that every JSON reader keeps exactly."""
-MOST_MS = 1e12
-"""Longest time, some 30 years; sums of such times keep the fraction of a millisecond."""
-MOST_CAPACITY = 1_000_000
-"""Most requests that one searcher executes at a time; far above what one process can."""
-MOST_RATE = 1e9
-"""Most requests a second; far above what one process can."""
+MAX_NAME_CHARS = 200
+"""Maximum length of the name of a VM, service, failure domain or searcher; host names have 253."""
+MAX_COUNT = (1 << 53) - 1
+"""Largest integer that every JSON parser represents exactly."""
+MAX_MS = 1e12
+"""Largest time, about 30 years; sums of such times keep fractions of a millisecond."""
+MAX_CAPACITY = 1_000_000
+"""Maximum number of concurrent requests of one searcher; far above what one process can handle."""
+MAX_RATE = 1e9
+"""Maximum number of requests per second; far above what one process can handle."""
 _OCTET = "(?:25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"
 
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME_CHARS)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 HeaderName = Annotated[str, Meta(pattern=r"\A[!-~](?:[ -~]{0,198}[!-~])?\Z")]
-"""A name that is sent as the value of a header: printable ASCII, so that it can't end the line."""
+"""A name that is sent as a header value: printable ASCII, so that it can't contain line breaks."""
 FieldValue = Annotated[
     str, Meta(pattern="\\A[!-~\x80-\xff](?:[\\t -~\x80-\xff]*[!-~\x80-\xff])?\\Z")
 ]
-"""The value of a header (RFC 9110, 5.5), which can't end its line."""
-Count = Annotated[int, Meta(ge=0, le=MOST_COUNT)]
-Rank = Annotated[int, Meta(ge=-MOST_COUNT, le=MOST_COUNT)]
-Capacity = Annotated[int, Meta(ge=1, le=MOST_CAPACITY)]
+"""A header value (RFC 9110, section 5.5) without line breaks."""
+Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+Rank = Annotated[int, Meta(ge=-MAX_COUNT, le=MAX_COUNT)]
+Capacity = Annotated[int, Meta(ge=1, le=MAX_CAPACITY)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
 Ipv4 = Annotated[str, Meta(pattern=rf"\A(?:{_OCTET}\.){{3}}{_OCTET}\Z")]
-"""Never a host name, which would be looked up while everything else waits."""
-Milliseconds = Annotated[float, Meta(ge=0, le=MOST_MS)]
-AgeMs = Annotated[float, Meta(ge=-1, le=MOST_MS)]
-"""An age; -1 for what never was."""
-Rate = Annotated[float, Meta(ge=0, le=MOST_RATE)]
+"""Never a host name, since resolving one would block the event loop."""
+Milliseconds = Annotated[float, Meta(ge=0, le=MAX_MS)]
+AgeMs = Annotated[float, Meta(ge=-1, le=MAX_MS)]
+"""An age; -1 if the event has never happened."""
+Rate = Annotated[float, Meta(ge=0, le=MAX_RATE)]
 Share = Annotated[float, Meta(ge=0, le=1)]
--- a/rhubarbhinge/utils/failstop.py
+++ b/rhubarbhinge/utils/failstop.py
@@ -1,21 +1,21 @@
-"""Stopping the process on a broken invariant."""
+"""Stopping the process when an invariant is violated."""
 
 import traceback
 from typing import NoReturn
 
 EXIT_SOFTWARE = 70
-"""Exit code of a process that found a broken invariant (``EX_SOFTWARE`` of ``sysexits.h``)."""
+"""Exit code after a violated invariant (``EX_SOFTWARE`` of ``sysexits.h``)."""
 
 
 def fail_stop(error: BaseException) -> NoReturn:
-    """Log a broken invariant with its traceback and stop the process.
+    """Log an unexpected exception with its traceback and stop the process.
 
-    circuits swallows exceptions of event handlers, but lets ``SystemExit`` end its main loop.
+    circuits suppresses exceptions of event handlers, but ``SystemExit`` ends its main loop.
 
-    :param error: what was raised.
+    :param error: the exception.
     :raises SystemExit: always, with :data:`EXIT_SOFTWARE`.
     """
-    # Imported here: the library takes 25 ms, which a starting entry spends better.
+    # Imported lazily, since importing absl would add 25 ms to the startup of an entry.
     from absl import logging
 
     logging.error("event=fail_stop error=%r\n%s", error, "".join(traceback.format_exception(error)))
--- a/rhubarbhinge/utils/fake_timers.py
+++ b/rhubarbhinge/utils/fake_timers.py
@@ -1,4 +1,4 @@
-"""Timers whose time a test moves."""
+"""A fake timer service whose clock is advanced by the test."""
 
 import heapq
 import itertools
@@ -8,9 +8,9 @@
 
 
 class FakeTimers:
-    """Stands in for the timer service in tests of what decides.
+    """Replaces the timer service in tests of code without sockets.
 
-    :param now_ms: the time to start at.
+    :param now_ms: the initial time.
     """
 
     def __init__(self, now_ms: float = 1_000.0):
@@ -19,18 +19,18 @@
         self._heap: list[tuple[float, int, Subscription]] = []
 
     def now_ms(self) -> float:
-        """Read the clock.
+        """Return the current time.
 
-        :returns: the time.
+        :returns: the time in milliseconds.
         """
         return self._now_ms
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Subscription:
-        """Call back once.
+        """Schedule a callback to run once.
 
-        :param delay_ms: how long from now.
+        :param delay_ms: delay in milliseconds.
         :param callback: called without arguments.
-        :returns: the handle to cancel it by.
+        :returns: a handle to cancel the timer with.
         """
         subscription = Subscription(callback, None, lambda: None)
         entry = (self._now_ms + delay_ms, next(self._sequence), subscription)
@@ -38,16 +38,16 @@
         return subscription
 
     def stand_still(self, duration_ms: float) -> None:
-        """Let time pass in which nothing is called back, as for a process that is held up.
+        """Advance the clock without running timers, like a process that is stalled.
 
-        :param duration_ms: how long.
+        :param duration_ms: time in milliseconds.
         """
         self._now_ms += duration_ms
 
     def advance(self, duration_ms: float) -> None:
-        """Let time pass, and call back what is due on the way.
+        """Advance the clock and run the timers that become due.
 
-        :param duration_ms: how long.
+        :param duration_ms: time in milliseconds.
         """
         end_ms = self._now_ms + duration_ms
         while self._heap and self._heap[0][0] <= end_ms:
--- a/rhubarbhinge/utils/nesting.py
+++ b/rhubarbhinge/utils/nesting.py
@@ -1,14 +1,14 @@
-"""How deep parsed JSON is nested."""
+"""Nesting depth of parsed JSON."""
 
 
-def is_nested_below(value: object, most_depth: int) -> bool:
-    """Check the nesting of lists and objects.
+def is_nested_below(value: object, max_depth: int) -> bool:
+    """Return whether the nesting of lists and objects is within a limit.
 
     :param value: parsed JSON.
-    :param most_depth: how many levels of lists and objects are allowed.
-    :returns: whether there are no more.
+    :param max_depth: maximum number of nested levels of lists and objects.
+    :returns: whether the limit is respected.
     """
     if not isinstance(value, dict | list):
         return True
-    inner = value.values() if isinstance(value, dict) else value
-    return most_depth > 0 and all(is_nested_below(each, most_depth - 1) for each in inner)
+    children = value.values() if isinstance(value, dict) else value
+    return max_depth > 0 and all(is_nested_below(child, max_depth - 1) for child in children)
--- a/rhubarbhinge/utils/rendezvous.py
+++ b/rhubarbhinge/utils/rendezvous.py
@@ -1,16 +1,18 @@
-"""Rendezvous hashing: an order of names on which all agree who know the same names."""
+"""Rendezvous hashing: all nodes that know the same names rank them in the same order."""
 
 from hashlib import blake2b
 
 SCORE_BYTES = 8
-"""Two of a thousand names have the same score for one key once in 10^13 keys."""
+"""With 1,000 names, two of them have equal scores for one in 10^13 keys."""
 
 
 def score(key: str, name: str) -> bytes:
-    """Rank a name for a key; a CRC would favour names that differ in their last letter.
+    """Return the score of a name for a key.
 
-    :param key: what is to be placed.
-    :param name: one of the places.
-    :returns: the rank; the greatest is the first choice.
+    A CRC is not suitable, as it would favour names that differ only in their last letter.
+
+    :param key: the key to place.
+    :param name: a candidate.
+    :returns: the score; the candidate with the greatest score is the first choice.
     """
     return blake2b(f"{key} {name}".encode(), digest_size=SCORE_BYTES).digest()
--- a/rhubarbhinge/utils/revision.py
+++ b/rhubarbhinge/utils/revision.py
@@ -1,4 +1,4 @@
-"""How far the platform's published state is known."""
+"""Revisions of the platform's published state."""
 
 from msgspec import Struct
 
@@ -6,14 +6,14 @@
 
 
 class Revision(Struct, frozen=True, order=True):
-    """How far the platform's published state is known, ordered by era, then by number.
+    """A revision of the platform's published state, ordered by era, then by number.
 
-    The platform counts its changes. When it comes back from a copy of itself, it has lost the
-    latest of them and gives their numbers out again, in a new era. So a number says nothing
-    without its era.
+    The platform numbers its changes. When it is restored from a backup, it has lost its latest
+    changes and reuses their numbers in a new era, so a number is only meaningful together with its
+    era.
 
-    :param era: rises each time that the platform comes back from a copy; 0 where it is not told.
-    :param number: the changes of the era's history, up to which the state is known.
+    :param era: increases each time the platform is restored from a copy; 0 if it is not known.
+    :param number: number of the last known change within the era.
     """
 
     era: Count = 0
@@ -24,4 +24,4 @@
 
 
 NO_REVISION = Revision()
-"""Below what the platform tells: nothing is known."""
+"""Lower than any published revision: no state is known."""
--- a/rhubarbhinge/utils/shared.py
+++ b/rhubarbhinge/utils/shared.py
@@ -1,4 +1,4 @@
-"""Components of which a tree holds one, shared by all that need it."""
+"""Components that are shared within a component tree."""
 
 from typing import TypeVar
 
@@ -9,16 +9,18 @@
 
 
 def shared_component(
-    member: BaseComponent, kind: type[ComponentT], fallback: type[ComponentT] | None = None
+    member: BaseComponent,
+    component_type: type[ComponentT],
+    fallback: type[ComponentT] | None = None,
 ) -> ComponentT:
-    """Find the tree's component of a kind; register one at the root if there is none.
+    """Return a component tree's instance of a class, registering one at the root if there is none.
 
     :param member: any component of the tree.
-    :param kind: the class to look for, subclasses included.
-    :param fallback: the class to make one of, ``kind`` by default.
+    :param component_type: the class to look for; instances of subclasses match as well.
+    :param fallback: the class to instantiate; ``component_type`` by default.
     :returns: the component.
     """
-    found = findcmp(member.root, kind)
+    found = findcmp(member.root, component_type)
     if found is None:
-        found = (fallback or kind)().register(member.root)
+        found = (fallback or component_type)().register(member.root)
     return found
--- a/rhubarbhinge/utils/strict_json.py
+++ b/rhubarbhinge/utils/strict_json.py
@@ -1,4 +1,4 @@
-"""JSON from outside, checked against a type."""
+"""Decoding and validation of external JSON."""
 
 from collections.abc import Callable
 from typing import Any
@@ -6,15 +6,15 @@
 import msgspec
 
 
-def json_reader(kind: Any) -> Callable[[bytes], Any]:
-    """Make a reader of JSON that gives values of one type and nothing else.
+def json_reader(value_type: Any) -> Callable[[bytes], Any]:
+    """Create a JSON decoder that only accepts values of one type.
 
-    Fields that the type doesn't have are passed over, as a later release may add some.
+    Unknown fields are ignored, since later releases may add some.
 
-    :param kind: the type, as ``msgspec`` takes it; its annotations say what is checked.
-    :returns: reads bytes; raises ``ValueError`` when they are no such value.
+    :param value_type: a type supported by ``msgspec``; its annotations define the checks.
+    :returns: a function that decodes bytes and raises ``ValueError`` if they are invalid.
     """
-    decode = msgspec.json.Decoder(kind).decode
+    decode = msgspec.json.Decoder(value_type).decode
 
     def read(data: bytes) -> Any:
         try:
@@ -25,12 +25,12 @@
     return read
 
 
-def convert(value: Any, kind: Any) -> Any:
-    """Check a value of plain types, and convert it where its type asks for that.
+def convert(value: Any, value_type: Any) -> Any:
+    """Validate a decoded value and convert it to a type.
 
-    :param value: the value, as a reader of JSON or TOML gives it.
-    :param kind: the type, as ``msgspec`` takes it.
-    :returns: the value as that type.
-    :raises ValueError: when it is none.
+    :param value: the value, as decoded from JSON or TOML.
+    :param value_type: a type supported by ``msgspec``.
+    :returns: the converted value.
+    :raises ValueError: if the value is invalid.
     """
-    return msgspec.convert(value, kind)
+    return msgspec.convert(value, value_type)
--- a/rhubarbhinge/utils/testing.py
+++ b/rhubarbhinge/utils/testing.py
@@ -1,4 +1,4 @@
-"""Pumping a circuits tree in the thread of a test."""
+"""Running the event loop of a circuits component tree in the thread of a test."""
 
 import os
 import time
@@ -9,16 +9,16 @@
 from circuits.core.utils import findcmp
 
 TICK_S = 0.05
-"""Longest that one pass of the loop may sleep, in seconds."""
+"""Maximum duration of one event loop iteration's poll, in seconds."""
 
 
 def run_until(root: BaseComponent, predicate: Callable[[], bool], timeout_s: float = 10.0) -> bool:
-    """Run the loop of a tree until a condition holds or a bound has passed.
+    """Run the event loop of a component tree until a condition holds or a timeout has elapsed.
 
-    :param root: the root of the tree, which must not run elsewhere.
-    :param predicate: the condition, checked after each pass of the loop.
-    :param timeout_s: the bound, in seconds.
-    :returns: whether the condition came to hold.
+    :param root: root of the tree; its event loop must not be running elsewhere.
+    :param predicate: the condition, checked after each event loop iteration.
+    :param timeout_s: the timeout in seconds.
+    :returns: whether the condition holds.
     """
     root._running = True
     end_s = time.monotonic() + timeout_s
@@ -30,18 +30,18 @@
 
 
 def run_for(root: BaseComponent, duration_s: float) -> None:
-    """Run the loop of a tree for a while.
+    """Run the event loop of a component tree for some time.
 
-    :param root: the root of the tree, which must not run elsewhere.
-    :param duration_s: how long, in seconds.
+    :param root: root of the tree; its event loop must not be running elsewhere.
+    :param duration_s: the time in seconds.
     """
     run_until(root, lambda: False, duration_s)
 
 
 def stop_tree(root: BaseComponent) -> None:
-    """Stop a tree, which closes the sockets that its components own.
+    """Stop a component tree, which closes the sockets owned by its components.
 
-    :param root: the root of the tree.
+    :param root: root of the tree.
     """
     root._running = True
     poller = findcmp(root, BasePoller)
--- a/rhubarbhinge/utils/testing_revisions.py
+++ b/rhubarbhinge/utils/testing_revisions.py
@@ -1,10 +1,10 @@
-"""Revisions of published state in tests."""
+"""Revisions of published state for tests."""
 
 from rhubarbhinge.utils.revision import Revision
 
 
 def at(number: int, era: int = 0) -> Revision:
-    """Make a revision.
+    """Create a revision.
 
     :param number: its number.
     :param era: its era.
--- a/rhubarbhinge/utils/testing_values.py
+++ b/rhubarbhinge/utils/testing_values.py
@@ -1,4 +1,4 @@
-"""Strategies of hypothesis for what may come from outside in place of a good value."""
+"""Hypothesis strategies for invalid external data."""
 
 import copy
 from typing import Any
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 FUZZ = settings(derandomize=True, deadline=None, database=None, max_examples=300)
-"""Each run draws the same examples; 300 take under a second for a decoder."""
+"""Settings that draw the same examples in each run; 300 take under a second for a decoder."""
 
 JSON_VALUES = st.recursive(
     st.none()
@@ -18,8 +18,8 @@
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=8), inner),
     max_leaves=8,
 )
-"""Any JSON."""
-ODD_VALUES = JSON_VALUES | st.sampled_from(
+"""Any JSON value."""
+EDGE_CASE_VALUES = JSON_VALUES | st.sampled_from(
     [
         -1,
         0,
@@ -40,30 +40,30 @@
         True,
     ]
 )
-"""Values that are often taken for something else."""
+"""JSON values that parsers often misinterpret."""
 
 
 @st.composite
 def mutated(draw: st.DrawFn, good: Any) -> Any:
-    """Draw a good JSON value with one of its fields replaced or taken away.
+    """Draw a JSON value with one of its fields replaced or removed.
 
-    :param draw: given by hypothesis.
-    :param good: a good value.
-    :returns: the value with its fault.
+    :param draw: provided by hypothesis.
+    :param good: a valid value.
+    :returns: the mutated copy.
     """
     value = copy.deepcopy(good)
-    holder, key = draw(st.sampled_from(list(_places(value))))
+    container, key = draw(st.sampled_from(list(_locations(value))))
     if draw(st.booleans()):
-        holder[key] = draw(ODD_VALUES)
+        container[key] = draw(EDGE_CASE_VALUES)
     else:
-        del holder[key]
+        del container[key]
     return value
 
 
-def _places(value: Any):
-    """Give each field of a value, as what holds it and its key or place there."""
+def _locations(value: Any):
+    """Yield the container and the key or index of each nested field."""
     pairs = value.items() if isinstance(value, dict) else enumerate(value)
     for key, inner in pairs:
         yield value, key
         if isinstance(inner, dict | list):
-            yield from _places(inner)
+            yield from _locations(inner)
--- a/rhubarbhinge/utils/whole_number.py
+++ b/rhubarbhinge/utils/whole_number.py
@@ -1,15 +1,15 @@
-"""Whole numbers out of texts from outside."""
+"""Parsing of whole numbers in external data."""
 
 
-def whole_number(text: str, most_digits: int) -> int | None:
-    """Read a number of decimal digits.
+def whole_number(text: str, max_digits: int) -> int | None:
+    """Parse a number of decimal digits.
 
-    ``str.isdigit`` alone lets superscripts pass, which ``int`` refuses with an error, as it does
-    some thousand digits.
+    ``str.isdigit`` alone also accepts superscripts, for which ``int`` raises an error, as it does
+    for some thousand digits.
 
     :param text: the text.
-    :param most_digits: longest number that is read.
-    :returns: the number; None when the text is none, or too long.
+    :param max_digits: maximum number of digits.
+    :returns: the number; None if the text is not a whole number or too long.
     """
-    is_number = text.isascii() and text.isdigit() and len(text) <= most_digits
-    return int(text) if is_number else None
+    is_valid = text.isascii() and text.isdigit() and len(text) <= max_digits
+    return int(text) if is_valid else None
