--- a/rhubarbhinge/settings/_load.py
+++ b/rhubarbhinge/settings/_load.py
@@ -1,4 +1,4 @@
-"""Settings from flags and environment variables."""
+"""Loading and validation of settings."""
 
 from collections.abc import Callable, Iterator, Mapping
 from pathlib import Path
@@ -6,21 +6,21 @@
 from rhubarbhinge.register import Checked, FaultLog, fields
 from rhubarbhinge.settings._node_settings import NodeSettings, SettingValue
 from rhubarbhinge.settings._setting import ENVIRONMENT_PREFIX, KEY_FILE, SETTINGS, Setting
-from rhubarbhinge.settings._texts import MOST_KEY_BYTES, key
+from rhubarbhinge.settings._value_parsers import MAX_KEY_BYTES, deployment_key
 
-_KNOWN = {setting.name for setting in SETTINGS} | {KEY_FILE.name}
-_VARIABLES = {setting.variable for setting in SETTINGS} | {KEY_FILE.variable}
+_KNOWN_FLAGS = {setting.name for setting in SETTINGS} | {KEY_FILE.name}
+_KNOWN_VARIABLES = {setting.variable for setting in SETTINGS} | {KEY_FILE.variable}
 
 
 def read_key_file(path: str) -> bytes:
-    """Read a deployment key, and not much more than one can have.
+    """Read a deployment key file, limited to about the maximum size of a key.
 
     :param path: Path of the file.
-    :returns: Its first bytes.
-    :raises OSError: When it can't be read.
+    :returns: The start of the file.
+    :raises OSError: If the file can't be read.
     """
     with Path(path).open("rb") as file:
-        return file.read(2 * MOST_KEY_BYTES)
+        return file.read(2 * MAX_KEY_BYTES)
 
 
 def load_settings(
@@ -28,11 +28,11 @@
     environ: Mapping[str, str],
     read_file: Callable[[str], bytes] = read_key_file,
 ) -> Checked[NodeSettings]:
-    """Check the settings of one node.
+    """Load and validate the settings of one node.
 
-    :param flags: Values by flag name, with dashes or underscores; they win over variables.
-    :param environ: The environment.
-    :param read_file: Reads the file of the deployment key; raises OSError if it can't.
+    :param flags: Values by flag name, with dashes or underscores; they override variables.
+    :param environ: The environment variables.
+    :param read_file: Reads the deployment key file; raises OSError on failure.
     :returns: The settings, or all faults found.
     """
     log = FaultLog()
@@ -41,23 +41,23 @@
     values: dict[str, SettingValue] = {}
     for setting in SETTINGS:
         if setting.secret:
-            value = _read_key(log, setting, flags, environ, read_file)
+            value = _load_deployment_key(log, setting, flags, environ, read_file)
         else:
-            value = _read(log, setting, flags, environ)
+            value = _parse_setting(log, setting, flags, environ)
         if value is not None:
             values[setting.name] = value
     if log.count:
         return log.verdict(None)
     settings = NodeSettings(**values)
-    _check(log, settings)
+    _check_consistency(log, settings)
     return log.verdict(settings)
 
 
 def _report_unknown(log: FaultLog, flags: Mapping[str, object], environ: Mapping) -> None:
-    for name in sorted(flags.keys() - _KNOWN):
+    for name in sorted(flags.keys() - _KNOWN_FLAGS):
         place = "--" + fields.shown(name.replace("_", "-")).strip("'\"")
         log.add(place, "unknown-flag", "the flag is unknown", "see docs/settings.md")
-    for name in sorted(environ.keys() - _VARIABLES):
+    for name in sorted(environ.keys() - _KNOWN_VARIABLES):
         if name.startswith(ENVIRONMENT_PREFIX):
             place = fields.shown(name).strip("'\"")
             message = "the environment variable is unknown"
@@ -67,25 +67,25 @@
 def _sources(
     setting: Setting, flags: Mapping[str, object], environ: Mapping[str, str]
 ) -> Iterator[tuple[str, str]]:
-    """Go through the places and texts of a setting, the one that wins first."""
+    """Yield the name and text of each source of a setting, in order of precedence."""
     if setting.name in flags:
-        yield setting.flag, _text(flags[setting.name])
+        yield setting.flag, _to_text(flags[setting.name])
     if setting.variable in environ:
         yield setting.variable, environ[setting.variable]
 
 
-def _read(
+def _parse_setting(
     log: FaultLog, setting: Setting, flags: Mapping[str, object], environ: Mapping[str, str]
 ) -> SettingValue | None:
     for place, text in _sources(setting, flags, environ):
-        return setting.read(log, place, text.strip())
+        return setting.parse(log, place, text.strip())
     if setting.required:
         todo = f"give {setting.flag} or set {setting.variable}: {setting.summary}"
         log.add(setting.variable, "missing-setting", "the setting is missing", todo)
     return None
 
 
-def _read_key(
+def _load_deployment_key(
     log: FaultLog,
     setting: Setting,
     flags: Mapping[str, object],
@@ -94,23 +94,23 @@
 ) -> bytes | None:
     todo = f"set {setting.variable}, or give a file by {KEY_FILE.flag} or {KEY_FILE.variable}"
     if setting.name in flags:
-        message = "a secret isn't taken from the command line, which others can read"
+        message = "secrets are not accepted on the command line, where other users can read them"
         log.add(setting.flag, "secret-flag", message, todo)
         return None
     files = list(_sources(KEY_FILE, flags, environ))
     if files and setting.variable in environ:
-        message = "the deployment key is given as a variable and as a file"
+        message = "the deployment key is given both as a variable and as a file"
         log.add(files[0][0], "two-keys", message, "keep one of the two")
         return None
     if files:
-        return _read_key_file(log, *files[0], read_file)
+        return _load_key_file(log, *files[0], read_file)
     if setting.variable in environ:
-        return key(log, setting.variable, environ[setting.variable])
+        return deployment_key(log, setting.variable, environ[setting.variable])
     log.add(setting.variable, "missing-setting", "the setting is missing", todo)
     return None
 
 
-def _read_key_file(
+def _load_key_file(
     log: FaultLog, place: str, path: str, read_file: Callable[[str], bytes]
 ) -> bytes | None:
     try:
@@ -120,19 +120,19 @@
         message = f"the file can't be read: {reason}"
         log.add(place, "unreadable-file", message, "correct the path or the file's permissions")
         return None
-    return key(log, place, text)
+    return deployment_key(log, place, text)
 
 
-def _text(value: object) -> str:
+def _to_text(value: object) -> str:
     if isinstance(value, list | tuple):
         return ",".join(str(item) for item in value)
     return str(value)
 
 
-def _check(log: FaultLog, settings: NodeSettings) -> None:
+def _check_consistency(log: FaultLog, settings: NodeSettings) -> None:
     if settings.peer_port == settings.http_port:
         message = "the peer port and the HTTP port are the same"
         log.add("http_port", "duplicate-address", message, "choose two ports")
     if settings.drain_wait_ms > settings.stop_grace_ms:
-        message = "the wait for balancers is longer than the whole stop"
+        message = "the time for load balancers to react is longer than the whole graceful stop"
         log.add("drain_wait_ms", "drain-over-grace", message, "raise stop_grace_ms")
--- a/rhubarbhinge/settings/_node_settings.py
+++ b/rhubarbhinge/settings/_node_settings.py
@@ -1,10 +1,10 @@
-"""The settings of one node as frozen data."""
+"""Validated settings of one node."""
 
 from dataclasses import dataclass, field
 from typing import Literal
 
 SettingValue = str | int | bytes | tuple[str, ...]
-"""What a setting can hold."""
+"""Type of a setting's value."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,24 +13,25 @@
 
     :param name: Name of the VM that the node runs on, as in the platform's list.
     :param failure_domain: Failure domain of that VM.
-    :param ip: Address that callers and other nodes use.
+    :param ip: IP address that clients and other nodes connect to.
     :param peer_port: TCP and UDP port for other nodes.
-    :param http_port: TCP port for callers and operators.
+    :param http_port: TCP port for clients and operators.
     :param platform: Addresses of the configuration service, each ``ip:port``.
-    :param deployment_key: Secret that all nodes of the deployment share.
-    :param peers: Addresses of nodes to join by, each ``ip:port`` of a peer port.
-    :param pools: Who holds connections to upstreams: relays, or each entry.
-    :param switched_off: Mechanisms to do without; for measuring.
-    :param links_per_domain: Nodes of each other failure domain that this node follows and links to.
-    :param stop_grace_ms: Longest time of a graceful stop, in milliseconds.
-    :param drain_wait_ms: Time of a stop that balancers get to notice it, in milliseconds.
+    :param deployment_key: Secret shared by all nodes of the deployment.
+    :param peers: Addresses of nodes used to join the cluster, each ``ip:port`` of a peer port.
+    :param pools: Which processes hold connections to upstreams: the relays, or each entry.
+    :param switched_off: Mechanisms to disable, for measurements.
+    :param links_per_domain: Number of nodes in each other failure domain that this node follows and
+        keeps links to.
+    :param stop_grace_ms: Maximum duration of a graceful stop, in milliseconds.
+    :param drain_wait_ms: Time for load balancers to notice a stop, in milliseconds.
     :param log_level: Least severe level that is logged.
-    :param http_header_bytes: Most bytes of a request's line and headers.
-    :param http_body_bytes: Most bytes of a request's body.
-    :param http_connections: Most connections of callers at a time.
-    :param http_header_timeout_ms: Longest time for a request's headers, in milliseconds.
-    :param http_body_timeout_ms: Longest time for a request's body, in milliseconds.
-    :param http_idle_timeout_ms: Longest time between two requests, in milliseconds.
+    :param http_header_bytes: Maximum size of a request line and headers.
+    :param http_body_bytes: Maximum size of a request body.
+    :param http_connections: Maximum number of concurrent client connections.
+    :param http_header_timeout_ms: Timeout for receiving a request's headers, in milliseconds.
+    :param http_body_timeout_ms: Timeout for receiving a request's body, in milliseconds.
+    :param http_idle_timeout_ms: Timeout of a connection between requests, in milliseconds.
     """
 
     name: str
@@ -55,7 +56,7 @@
     http_idle_timeout_ms: int = 60_000
 
     def node_name(self, role: str) -> str:
-        """Name the node that runs with these settings.
+        """Return the name of a node with these settings.
 
         :param role: ``entry`` or ``relay``.
         :returns: ``<vm name>/<role>``.
--- a/rhubarbhinge/settings/_setting.py
+++ b/rhubarbhinge/settings/_setting.py
@@ -1,22 +1,22 @@
-"""The table of settings."""
+"""Definitions of all settings."""
 
 from dataclasses import dataclass
 
 from rhubarbhinge.register import fields
-from rhubarbhinge.settings import _texts as texts
+from rhubarbhinge.settings import _value_parsers as parsers
 
 ENVIRONMENT_PREFIX = "RHUBARBHINGE_"
-"""Begins the name of each environment variable of this system."""
+"""Prefix of all environment variables of this system."""
 
-MOST_WAIT_MS = 3_600_000
-MOST_TIMEOUT_MS = 600_000
-MOST_LINKS = 1_000
-MOST_CONNECTIONS = 100_000
-LEAST_HEADER_BYTES = 1_024
-MOST_HEADER_BYTES = 1_048_576
-MOST_BODY_BYTES = 16_777_216
+MAX_WAIT_MS = 3_600_000
+MAX_TIMEOUT_MS = 600_000
+MAX_LINKS = 1_000
+MAX_CONNECTIONS = 100_000
+MIN_HEADER_BYTES = 1_024
+MAX_HEADER_BYTES = 1_048_576
+MAX_BODY_BYTES = 16_777_216
 
-SWITCHES = (
+SWITCHABLE_MECHANISMS = (
     "hedging",
     "own-observation",
     "retry-budget",
@@ -24,34 +24,34 @@
     "open-ahead",
     "owner-queue",
 )
-"""Mechanisms that can be switched off."""
+"""Mechanisms that can be disabled."""
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One setting.
+    """Definition of one setting.
 
-    :param name: Name of its field in `NodeSettings`.
-    :param read: Reader of its text.
-    :param summary: What it is, for operators.
+    :param name: Name of the field in `NodeSettings`.
+    :param parse: Parser of the text value.
+    :param summary: Short description for operators.
     :param required: Whether it has no default.
-    :param secret: Whether it is refused as a flag, since command lines are public on a VM.
+    :param secret: Whether it is rejected as a flag, since all users of a VM can read command lines.
     """
 
     name: str
-    read: texts.TextReader
+    parse: parsers.ValueParser
     summary: str
     required: bool = False
     secret: bool = False
 
     @property
     def variable(self) -> str:
-        """Name of its environment variable."""
+        """Name of the environment variable."""
         return ENVIRONMENT_PREFIX + self.name.upper()
 
     @property
     def flag(self) -> str:
-        """Its flag."""
+        """The command line flag."""
         return "--" + self.name.replace("_", "-")
 
 
@@ -61,92 +61,92 @@
     Setting("ip", fields.ip_number, "IP number that callers and other nodes use", required=True),
     Setting(
         "peer_port",
-        texts.whole(1, texts.MOST_PORT),
+        parsers.integer(1, parsers.MAX_PORT),
         "TCP and UDP port for other nodes",
         required=True,
     ),
     Setting(
         "http_port",
-        texts.whole(1, texts.MOST_PORT),
+        parsers.integer(1, parsers.MAX_PORT),
         "TCP port for callers and operators",
         required=True,
     ),
     Setting(
         "platform",
-        texts.addresses(1),
+        parsers.addresses(1),
         "ip:port of the configuration service, several separated by commas",
         required=True,
     ),
     Setting(
         "deployment_key",
-        texts.key,
+        parsers.deployment_key,
         "secret that all nodes share, 32 to 1024 printable characters",
         required=True,
         secret=True,
     ),
     Setting(
         "peers",
-        texts.addresses(0),
+        parsers.addresses(0),
         "ip:port of nodes to join by (their peer ports), separated by commas",
     ),
     Setting(
         "pools",
-        texts.option("relay", "direct"),
+        parsers.choice("relay", "direct"),
         "who holds the connections to upstreams: the relays, or each entry",
     ),
     Setting(
         "switched_off",
-        texts.options(*SWITCHES),
+        parsers.choices(*SWITCHABLE_MECHANISMS),
         "mechanisms to do without, for measuring what each one gives",
     ),
     Setting(
         "links_per_domain",
-        texts.whole(1, MOST_LINKS),
+        parsers.integer(1, MAX_LINKS),
         "nodes of each other failure domain to follow; at least those of the largest",
     ),
     Setting(
         "stop_grace_ms",
-        texts.whole(0, MOST_WAIT_MS),
+        parsers.integer(0, MAX_WAIT_MS),
         "longest time of a graceful stop",
     ),
     Setting(
         "drain_wait_ms",
-        texts.whole(0, MOST_WAIT_MS),
+        parsers.integer(0, MAX_WAIT_MS),
         "time of a stop that balancers get to notice it, before work is refused",
     ),
     Setting(
         "log_level",
-        texts.option("debug", "info", "warning", "error"),
+        parsers.choice("debug", "info", "warning", "error"),
         "least severe level that is logged",
     ),
     Setting(
         "http_header_bytes",
-        texts.whole(LEAST_HEADER_BYTES, MOST_HEADER_BYTES),
+        parsers.integer(MIN_HEADER_BYTES, MAX_HEADER_BYTES),
         "most bytes of a request's line and headers",
     ),
     Setting(
         "http_body_bytes",
-        texts.whole(1, MOST_BODY_BYTES),
+        parsers.integer(1, MAX_BODY_BYTES),
         "most bytes of a request's body",
     ),
     Setting(
         "http_connections",
-        texts.whole(1, MOST_CONNECTIONS),
+        parsers.integer(1, MAX_CONNECTIONS),
         "most connections of callers at a time",
     ),
     Setting(
         "http_header_timeout_ms",
-        texts.whole(1, MOST_TIMEOUT_MS),
+        parsers.integer(1, MAX_TIMEOUT_MS),
         "longest time for a request's headers",
     ),
     Setting(
         "http_body_timeout_ms",
-        texts.whole(1, MOST_TIMEOUT_MS),
+        parsers.integer(1, MAX_TIMEOUT_MS),
         "longest time for a request's body",
     ),
     Setting(
         "http_idle_timeout_ms",
-        texts.whole(1, MOST_TIMEOUT_MS),
+        parsers.integer(1, MAX_TIMEOUT_MS),
         "longest time that a connection is kept between requests",
     ),
 )
@@ -157,4 +157,4 @@
     lambda log, place, text: text,
     "file that holds the deployment key, instead of the variable",
 )
-"""Where the deployment key can be read from; not a field of `NodeSettings`."""
+"""Path of a file with the deployment key; not a field of `NodeSettings`."""
--- a/rhubarbhinge/settings/tests/test_docs.py
+++ b/rhubarbhinge/settings/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""docs/settings.md tells the settings as they are."""
+"""Test that docs/settings.md lists all settings and no others."""
 
 import dataclasses
 import unittest
@@ -8,7 +8,7 @@
 
 
 class DocsTest(unittest.TestCase):
-    def test_table_has_each_setting_and_no_other(self):
+    def test_table_lists_exactly_the_settings(self):
         lines = Path("docs/settings.md").read_text().splitlines()
         rows = [line for line in lines if "`RHUBARBHINGE_" in line and line.startswith("|")]
         defaults = {field.name: field.default for field in dataclasses.fields(NodeSettings)}
--- a/rhubarbhinge/telemetry/_boundhistogram.py
+++ b/rhubarbhinge/telemetry/_bucket_histogram.py
@@ -1,12 +1,12 @@
-"""A histogram with given bounds."""
+"""A histogram with given bucket bounds."""
 
 from bisect import bisect_left
 
 
-class BoundHistogram:
+class BucketHistogram:
     """Counts values in buckets with given upper bounds.
 
-    :param bounds: upper bounds, inclusive, in rising order.
+    :param bounds: inclusive upper bounds, in ascending order.
     """
 
     __slots__ = ("bounds", "counts", "total")
@@ -17,7 +17,7 @@
         self.total = 0.0
 
     def observe(self, value: float) -> None:
-        """Count one value.
+        """Record one value.
 
         :param value: the value.
         """
--- a/rhubarbhinge/telemetry/_exposition.py
+++ b/rhubarbhinge/telemetry/_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics of the library that take ready-made values."""
+"""Rendering of metrics with aioprometheus."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,13 +7,13 @@
 from rhubarbhinge.telemetry._labels import Labels
 
 
-class _Filled(Histogram):
-    """A histogram of the library whose rows are set at once, not observed one by one."""
+class _PrefilledHistogram(Histogram):
+    """A histogram whose rows are set directly rather than by observing single values."""
 
     rows: list[tuple[Labels, dict]] = []
 
     def get_all(self) -> list[tuple[Labels, dict]]:
-        """Give the rows to the formatter.
+        """Return the rows; called by the formatter.
 
         :returns: the rows that were set.
         """
@@ -21,54 +21,54 @@
 
 
 class Exposition:
-    """A registry that is filled afresh for one rendering."""
+    """A registry that is filled for a single rendering."""
 
     def __init__(self):
         self._registry = Registry()
 
-    def counter(self, name: str, text: str, rows: Iterable[tuple[Labels, float]]) -> None:
+    def counter(self, name: str, help_text: str, rows: Iterable[tuple[Labels, float]]) -> None:
         """Add a counter.
 
         :param name: its name.
-        :param text: what it counts.
+        :param help_text: its description.
         :param rows: labels and values.
         """
-        metric = Counter(name, text, registry=self._registry)
+        metric = Counter(name, help_text, registry=self._registry)
         for labels, value in rows:
             metric.set(_escape(labels), value)
 
-    def gauge(self, name: str, text: str, rows: Iterable[tuple[Labels, float]]) -> None:
+    def gauge(self, name: str, help_text: str, rows: Iterable[tuple[Labels, float]]) -> None:
         """Add a gauge.
 
         :param name: its name.
-        :param text: what it shows.
+        :param help_text: its description.
         :param rows: labels and values.
         """
-        metric = Gauge(name, text, registry=self._registry)
+        metric = Gauge(name, help_text, registry=self._registry)
         for labels, value in rows:
             metric.set(_escape(labels), value)
 
     def histogram(
         self,
         name: str,
-        text: str,
+        help_text: str,
         bounds: Sequence[float],
         rows: Iterable[tuple[Labels, Sequence[int], float]],
     ) -> None:
         """Add a histogram.
 
         :param name: its name.
-        :param text: what it shows.
+        :param help_text: its description.
         :param bounds: upper bounds of the buckets.
         :param rows: labels, counts (one more than bounds, not cumulative) and the sum of values.
         """
-        metric = _Filled(name, text, registry=self._registry)
+        metric = _PrefilledHistogram(name, help_text, registry=self._registry)
         metric.rows = [
             (_escape(labels), _cumulative(bounds, counts, total)) for labels, counts, total in rows
         ]
 
     def render(self) -> bytes:
-        """Render all of it in the text format.
+        """Render all metrics in the Prometheus text format.
 
         :returns: the document.
         """
@@ -77,11 +77,11 @@
 
 def _cumulative(bounds: Sequence[float], counts: Sequence[int], total: float) -> dict:
     row: dict = {}
-    seen = 0
+    cumulative = 0
     for bound, count in zip((*bounds, float("inf")), counts, strict=True):
-        seen += count
-        row[bound] = seen
-    row["count"] = seen
+        cumulative += count
+        row[bound] = cumulative
+    row["count"] = cumulative
     row["sum"] = total
     return row
 
@@ -91,5 +91,5 @@
 
 
 def _escape_value(value: str) -> str:
-    """Escape a label's value, which the library's formatter leaves as it is."""
+    """Escape a label value; the formatter of aioprometheus does not."""
     return value.replace("\\", "\\\\").replace("\n", "\\n").replace('"', '\\"')
--- a/rhubarbhinge/telemetry/_figure.py
+++ b/rhubarbhinge/telemetry/_figure.py
@@ -1,15 +1,15 @@
-"""A single number that a process shows."""
+"""A metric with a single value."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A single number that a process shows.
+    """A metric with a single value.
 
-    :param name: name of the metric, without the prefix of all.
-    :param help: what it tells, in a few words.
-    :param only_grows: whether it is a counter; else it is a gauge.
+    :param name: name of the metric, without the common prefix.
+    :param help: short description.
+    :param only_grows: whether it is a counter rather than a gauge.
     """
 
     name: str
--- a/rhubarbhinge/telemetry/_format.py
+++ b/rhubarbhinge/telemetry/_format.py
@@ -1,7 +1,7 @@
-"""Event lines: key=value pairs on one line."""
+"""Formatting of events as key=value pairs on one line."""
 
-RESERVED = frozenset({"time", "level", "node", "event"})
-"""Names that the line itself uses; a field of such a name gets an underscore at its end."""
+RESERVED_NAMES = frozenset({"time", "level", "node", "event"})
+"""Keys used by each line itself; fields with such a name get an underscore appended."""
 _NAMED_ESCAPES = {"\\": "\\\\", '"': '\\"', "\n": "\\n", "\r": "\\r", "\t": "\\t"}
 
 Value = str | int | float | bool | None
@@ -11,18 +11,18 @@
     """Format an event, without time, level and node.
 
     :param name: name of the event.
-    :param fields: its fields.
+    :param fields: fields of the event.
     :returns: one line of key=value pairs.
     """
     pairs = [f"event={format_value(name)}"]
     for key, value in fields.items():
-        shown_key = key + "_" if key in RESERVED else key
-        pairs.append(f"{shown_key}={format_value(value)}")
+        field_name = key + "_" if key in RESERVED_NAMES else key
+        pairs.append(f"{field_name}={format_value(value)}")
     return " ".join(pairs)
 
 
 def format_value(value: Value) -> str:
-    """Format a value; it is quoted when it holds anything that could be misread.
+    """Format a value; text is quoted if it would be ambiguous otherwise.
 
     :param value: the value.
     :returns: text on one line.
--- a/rhubarbhinge/telemetry/_parse.py
+++ b/rhubarbhinge/telemetry/_parse.py
@@ -1,23 +1,23 @@
-"""Reading of event log lines, for tools that check or count events."""
+"""Parsing of event log lines, for tools that check or count events."""
 
 import re
 
 _PAIR = re.compile(r'(\w+)=(?:"((?:[^"\\]|\\.)*)"|([^\s"=\\]+))(?: |$)')
 _ESCAPE = re.compile(r"\\(?:u([0-9a-f]{4})|U(00(?:10|0[0-9a-f])[0-9a-f]{4})|([nrt\"\\]))")
-_STRAY = re.compile(r"\\(?!u[0-9a-f]{4}|U00(?:10|0[0-9a-f])[0-9a-f]{4}|[nrt\"\\])")
-_NAMED = {"n": "\n", "r": "\r", "t": "\t"}
+_INVALID_ESCAPE = re.compile(r"\\(?!u[0-9a-f]{4}|U00(?:10|0[0-9a-f])[0-9a-f]{4}|[nrt\"\\])")
+_NAMED_ESCAPES = {"n": "\n", "r": "\r", "t": "\t"}
 
 
 def parse_event(line: str) -> dict[str, str] | None:
-    """Read the fields of one line.
+    """Parse the fields of a log line.
 
-    :param line: a line of the log, without its line break.
-    :returns: the fields in their order, as text; None if the line is not one of key=value pairs.
+    :param line: the line, without its line break.
+    :returns: the fields in order, as text; None if the line does not consist of key=value pairs.
     """
     fields = {}
-    at = 0
-    while at < len(line):
-        pair = _PAIR.match(line, at)
+    position = 0
+    while position < len(line):
+        pair = _PAIR.match(line, position)
         if pair is None:
             return None
         key, quoted, plain = pair.groups()
@@ -25,19 +25,19 @@
         if value is None:
             return None
         fields[key] = value
-        at = pair.end()
+        position = pair.end()
     return fields
 
 
 def _unescape(text: str) -> str | None:
-    """Replace the escapes of a quoted value; None if one of them is unknown."""
-    if _STRAY.search(text.replace("\\\\", "")):
+    """Replace the escape sequences of a quoted value; None if one of them is invalid."""
+    if _INVALID_ESCAPE.search(text.replace("\\\\", "")):
         return None
-    return _ESCAPE.sub(_unescape_one, text)
+    return _ESCAPE.sub(_replace_escape, text)
 
 
-def _unescape_one(match: re.Match) -> str:
+def _replace_escape(match: re.Match) -> str:
     short, long, named = match.groups()
     if named is not None:
-        return _NAMED.get(named, named)
+        return _NAMED_ESCAPES.get(named, named)
     return chr(int(short or long, 16))
--- a/rhubarbhinge/telemetry/tests/test_events.py
+++ b/rhubarbhinge/telemetry/tests/test_events.py
@@ -15,26 +15,26 @@
 
 
 class FormatTest(unittest.TestCase):
-    def test_values(self):
+    def test_value_formats(self):
         fields = {"upstream": "desk-01", "why": "a b", "age_ms": 1.5, "ok": True, "left": None}
-        wanted = 'event=drain upstream=desk-01 why="a b" age_ms=1.5 ok=true left=none'
-        self.assertEqual(wanted, format_event("drain", fields))
+        expected = 'event=drain upstream=desk-01 why="a b" age_ms=1.5 ok=true left=none'
+        self.assertEqual(expected, format_event("drain", fields))
 
-    def test_numbers_of_any_type_are_plain(self):
+    def test_number_subclasses_are_plain(self):
         level = IntEnum("Level", {"HIGH": 3}).HIGH
         self.assertEqual("event=x a=3 b=0.5", format_event("x", {"a": level, "b": 0.5}))
 
-    def test_reserved_names_get_an_underscore(self):
+    def test_reserved_names_get_underscore(self):
         self.assertEqual("event=x time_=3 node_=a", format_event("x", {"time": 3, "node": "a"}))
 
     @settings(derandomize=True, deadline=None, database=None)
     @given(st.text(), st.text())
-    def test_any_text_stays_on_one_line_and_reads_back(self, first, second):
+    def test_any_text_round_trips_on_one_line(self, first, second):
         line = format_event("x", {"first": first, "second": second})
         self.assertEqual(1, len(line.splitlines()))
         self.assertEqual({"event": "x", "first": first, "second": second}, parse_event(line))
 
-    def test_what_is_no_event_is_not_parsed(self):
+    def test_invalid_lines_are_not_parsed(self):
         for line in (
             "event",
             'a="b',
@@ -61,20 +61,20 @@
             act()
             return stream.getvalue().splitlines()
 
-    def test_one_line_with_time_level_and_node(self):
+    def test_line_has_time_level_and_node(self):
         found = self.lines("info", lambda: log_event("drain", name="a", age_ms=3))
         pattern = r"^time=\S+Z level=info node=kgn-a-1/entry event=drain name=a age_ms=3$"
         self.assertEqual(1, len(found))
         self.assertRegex(found[0], pattern)
 
-    def test_level_holds_back(self):
+    def test_events_below_level_are_suppressed(self):
         self.assertEqual([], self.lines("warning", lambda: log_event("drain")))
-        loud = self.lines("warning", lambda: log_event("drain", level="error"))
-        self.assertRegex(loud[0], "level=error node=kgn-a-1/entry event=drain$")
+        found = self.lines("warning", lambda: log_event("drain", level="error"))
+        self.assertRegex(found[0], "level=error node=kgn-a-1/entry event=drain$")
         with self.assertRaises(ValueError):
             setup_logging("loud", "n")
 
-    def test_records_of_libraries_become_one_line(self):
+    def test_library_records_become_one_line(self):
         record = standard_logging.LogRecord("lib", 30, "f", 1, "a\nb", (), None)
         line = LineFormatter("n").format(record)
         self.assertTrue(line.endswith('event=log logger=lib message="a\\nb"'))
--- a/rhubarbhinge/telemetry/tests/test_metrics.py
+++ b/rhubarbhinge/telemetry/tests/test_metrics.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.telemetry import RELATIVE_ERROR, LogHistogram, Metrics, SubQueryKind
-from rhubarbhinge.telemetry._metrics import MOST_SERIES
+from rhubarbhinge.telemetry._metrics import MAX_SERIES
 
 FLOAT_ERROR = 1e-9
 
@@ -20,11 +20,11 @@
             histogram.observe(value)
         ranked = sorted(values)
         index = max(0, -int(-fraction * len(values) // 1) - 1)
-        wanted = ranked[index]
-        bound = wanted * (RELATIVE_ERROR + FLOAT_ERROR)
-        self.assertAlmostEqual(wanted, histogram.quantile(fraction), delta=bound)
+        expected = ranked[index]
+        bound = expected * (RELATIVE_ERROR + FLOAT_ERROR)
+        self.assertAlmostEqual(expected, histogram.quantile(fraction), delta=bound)
 
-    def test_ends(self):
+    def test_values_outside_the_bounds(self):
         histogram = LogHistogram()
         self.assertIsNone(histogram.quantile(0.5))
         for value in (-1.0, 0.0, 1e9, float("inf")):
@@ -51,13 +51,13 @@
         labels = 'class="unit-trip",tenant="kingston"'
         self.assertIn(f"{head}_count{{{labels}}} 5.0", self.lines())
 
-    def test_coverage_tells_whole_answers_apart(self):
+    def test_coverage_separates_complete_answers(self):
         for coverage in (1.0, 1.0, 0.9995):
             self.metrics.observe_coverage("suva", "payment", coverage)
-        thin = [line for line in self.lines() if 'le="0.999999"' in line]
-        whole = [line for line in self.lines() if 'le="1.0"' in line and "coverage" in line]
-        self.assertTrue(thin[0].endswith(" 1.0"))
-        self.assertTrue(whole[0].endswith(" 3.0"))
+        partial = [line for line in self.lines() if 'le="0.999999"' in line]
+        complete = [line for line in self.lines() if 'le="1.0"' in line and "coverage" in line]
+        self.assertTrue(partial[0].endswith(" 1.0"))
+        self.assertTrue(complete[0].endswith(" 3.0"))
 
     def test_counters_and_gauges(self):
         self.metrics.count_sub_queries("planning", SubQueryKind.BASE, 100)
@@ -70,7 +70,7 @@
         self.metrics.set_drains(2)
         self.metrics.set_slots("outage-search-desk", 3, 80)
         self.metrics.set_queue_length("planning", 4)
-        wanted = [
+        expected = [
             'sub_queries_total{class="planning",kind="hedge"} 3',
             'refusals_total{code="shed"} 1',
             'refusal_ms_count{code="shed"} 1.0',
@@ -83,7 +83,7 @@
             'slots{system="outage-search-desk"} 80',
             'queue_length{class="planning"} 4',
         ]
-        for line in wanted:
+        for line in expected:
             self.assertIn("rhubarbhinge_" + line, self.lines())
         self.assertEqual(0.04, self.metrics.summary()["extra_load"])
 
@@ -91,15 +91,15 @@
         self.metrics.count_refusal('a"b\\c\nd')
         self.assertIn('rhubarbhinge_refusals_total{code="a\\"b\\\\c\\nd"} 1', self.lines())
 
-    def test_series_are_bounded(self):
-        for number in range(MOST_SERIES + 5):
+    def test_number_of_series_is_limited(self):
+        for number in range(MAX_SERIES + 5):
             self.metrics.observe_latency("t", f"c{number}", 1.0)
             self.metrics.count_refusal(f"r{number}")
         summary = self.metrics.summary()
         self.assertEqual(5, summary["latency"]["other"]["count"])
         self.assertEqual(5, summary["refusals"]["other"])
 
-    def test_summary_joins_tenants_of_a_class(self):
+    def test_summary_merges_workspaces_of_a_class(self):
         self.metrics.observe_latency("kingston", "planning", 10.0)
         self.metrics.observe_latency("suva", "planning", 1_000.0)
         found = self.metrics.summary()["latency"]["planning"]
--- a/rhubarbhinge/utils/revision.py
+++ b/rhubarbhinge/utils/revision.py
@@ -8,7 +8,7 @@
 class Revision(Struct, frozen=True, order=True):
     """A revision of the platform's published state, ordered by era, then by number.
 
-    The platform numbers its changes. When it is restored from a backup, it has lost its latest
+    The platform numbers its changes. When it is restored from an older copy, it has lost its latest
     changes and reuses their numbers in a new era, so a number is only meaningful together with its
     era.
 
