--- a/rhubarbhinge/net/__init__.py
+++ b/rhubarbhinge/net/__init__.py
@@ -5,7 +5,7 @@
 from rhubarbhinge.net._frameerror import FrameError
 from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, frame
 from rhubarbhinge.net._links import DEFAULT_MAX_PENDING_BYTES, Links
-from rhubarbhinge.net._sockets import hand_over
+from rhubarbhinge.net._sockets import provide_listening_socket
 
 __all__ = [
     "DEFAULT_MAX_PENDING_BYTES",
@@ -16,5 +16,5 @@
     "FrameSplitter",
     "Links",
     "frame",
-    "hand_over",
+    "provide_listening_socket",
 ]
--- a/rhubarbhinge/net/_sockets.py
+++ b/rhubarbhinge/net/_sockets.py
@@ -17,7 +17,7 @@
 _provided_listeners: dict[tuple[str, int], socket.socket] = {}
 
 
-def hand_over(sock: socket.socket) -> None:
+def provide_listening_socket(sock: socket.socket) -> None:
     """Register a listening socket that was created before this package was imported.
 
     Connections that arrive while the process starts up then wait in its backlog instead of being
