--- a/rhubarbhinge/net/__init__.py
+++ b/rhubarbhinge/net/__init__.py
@@ -2,7 +2,7 @@
 
 from rhubarbhinge.net._close_reason import CloseReason
 from rhubarbhinge.net._datagrams import Datagrams
-from rhubarbhinge.net._frameerror import FrameError
+from rhubarbhinge.net._frame_error import FrameError
 from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, frame
 from rhubarbhinge.net._links import DEFAULT_MAX_PENDING_BYTES, Links
 from rhubarbhinge.net._sockets import provide_listening_socket
--- a/rhubarbhinge/net/_frames.py
+++ b/rhubarbhinge/net/_frames.py
@@ -1,6 +1,6 @@
 """Length-prefixed frames on a byte stream."""
 
-from rhubarbhinge.net._frameerror import FrameError
+from rhubarbhinge.net._frame_error import FrameError
 
 #: Size of the little-endian length prefix of each frame.
 LENGTH_PREFIX_BYTES = 4
--- a/rhubarbhinge/wire/__init__.py
+++ b/rhubarbhinge/wire/__init__.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from rhubarbhinge.net._frameerror import FrameError
+from rhubarbhinge.net._frame_error import FrameError
 from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, frame
 from rhubarbhinge.wire._cancelbatch import CancelBatch
 from rhubarbhinge.wire._codec import Codec
--- a/rhubarbhinge/wire/_codec.py
+++ b/rhubarbhinge/wire/_codec.py
@@ -9,7 +9,7 @@
 
 import capnp
 
-from rhubarbhinge.net._frameerror import FrameError
+from rhubarbhinge.net._frame_error import FrameError
 
 capnp.remove_import_hook()
 _SCHEMA = capnp.load(str(Path(__file__).with_name("messages.capnp")))
--- a/rhubarbhinge/wire/_columns.py
+++ b/rhubarbhinge/wire/_columns.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from rhubarbhinge.net._frameerror import FrameError
+from rhubarbhinge.net._frame_error import FrameError
 from rhubarbhinge.wire._cancelbatch import CancelBatch
 from rhubarbhinge.wire._holdingreport import HoldingReport
 from rhubarbhinge.wire._replybatch import ReplyBatch
--- a/rhubarbhinge/wire/_hellocheck.py
+++ b/rhubarbhinge/wire/_hellocheck.py
@@ -3,7 +3,7 @@
 import hashlib
 import hmac
 
-from rhubarbhinge.net._frameerror import FrameError
+from rhubarbhinge.net._frame_error import FrameError
 from rhubarbhinge.wire._hello import Hello
 
 #: Bytes of the code in front of a datagram: half of SHA-256, still 128 bits.
