--- a/rhubarbhinge/daemons/_peerlinks.py
+++ b/rhubarbhinge/daemons/_peerlinks.py
@@ -15,7 +15,7 @@
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.failstop import fail_stop
-from rhubarbhinge.wire import FrameError, FrameSplitter, Hello, decode, encode, frame
+from rhubarbhinge.wire import FrameError, FrameSplitter, Hello, decode, encode, encode_frame
 
 #: Longest time for a connection and its hellos.
 _GREETING_TIMEOUT_MS = 2_000.0
@@ -136,7 +136,7 @@
         link = self._link_by_name.get(name)
         if link is None:
             return False
-        self._sockets.send(link, frame(encode(message)))
+        self._sockets.send(link, encode_frame(encode(message)))
         return True
 
     def drop_all(self, code: str) -> None:
@@ -201,7 +201,7 @@
             handshake = Handshake(self._key, self._identity, None)
             self._links[link] = _Link(handshake, FrameSplitter(_GREETING_BYTES), None)
         else:
-            self._sockets.send(link, frame(encode(self._links[link].handshake.first())))
+            self._sockets.send(link, encode_frame(encode(self._links[link].handshake.first())))
         self._timers.after(_GREETING_TIMEOUT_MS, lambda: self._check_greeted(link))
 
     def _check_greeted(self, link: int) -> None:
@@ -231,7 +231,7 @@
             raise FrameError("unsigned", "the link's first message is no hello")
         reply = known.handshake.on_hello(message)
         if reply is not None:
-            self._sockets.send(link, frame(encode(reply)))
+            self._sockets.send(link, encode_frame(encode(reply)))
         if known.handshake.done:
             self._greeted(link, known)
 
--- a/rhubarbhinge/delegation/_link_codec.py
+++ b/rhubarbhinge/delegation/_link_codec.py
@@ -3,7 +3,7 @@
 import zlib
 
 from rhubarbhinge.delegation._messages import Message, decode_message, encode_message
-from rhubarbhinge.net import MAX_FRAME_BYTES, FrameError, FrameSplitter, frame
+from rhubarbhinge.net import MAX_FRAME_BYTES, FrameError, FrameSplitter, encode_frame
 
 LEVEL = 3
 """Effort of compression: names that stood in earlier messages are found at any; 1 to 3 differ by a
@@ -38,7 +38,7 @@
         """
         data = self._deflate.compress(encode_message(message))
         data += self._deflate.flush(zlib.Z_SYNC_FLUSH)
-        return frame(data.removesuffix(SYNC_TAIL))
+        return encode_frame(data.removesuffix(SYNC_TAIL))
 
     def feed(self, data: bytes) -> list[Message]:
         """Take bytes from the link.
--- a/rhubarbhinge/delegation/tests/test_link_codec.py
+++ b/rhubarbhinge/delegation/tests/test_link_codec.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.delegation import Answer, Ask, Cancel, LinkCodec
-from rhubarbhinge.net import MAX_FRAME_BYTES, FrameError, frame
+from rhubarbhinge.net import MAX_FRAME_BYTES, FrameError, encode_frame
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None)
 SERVICES = tuple(f"outage-search-desk-{number:02d}" for number in range(90))
@@ -37,7 +37,7 @@
     def test_other_bytes_are_a_coded_error(self, data):
         codec = LinkCodec()
         try:
-            codec.feed(frame(data))
+            codec.feed(encode_frame(data))
         except FrameError as error:
             self.assertIn(error.code, ("malformed", "oversized"))
 
@@ -45,13 +45,13 @@
         deflate = zlib.compressobj(9, zlib.DEFLATED, -13, 6)
         data = deflate.compress(b"x" * (MAX_FRAME_BYTES + 10)) + deflate.flush(zlib.Z_SYNC_FLUSH)
         with self.assertRaises(FrameError) as caught:
-            LinkCodec().feed(frame(data))
+            LinkCodec().feed(encode_frame(data))
         self.assertEqual(caught.exception.code, "oversized")
 
     def test_a_stream_that_is_ended_is_refused(self):
         deflate = zlib.compressobj(3, zlib.DEFLATED, -13, 6)
         with self.assertRaises(FrameError):
-            LinkCodec().feed(frame(deflate.compress(b"x") + deflate.flush(zlib.Z_FINISH)))
+            LinkCodec().feed(encode_frame(deflate.compress(b"x") + deflate.flush(zlib.Z_FINISH)))
 
     def test_each_direction_has_its_own_stream(self):
         one, other = LinkCodec(), LinkCodec()
--- a/rhubarbhinge/net/__init__.py
+++ b/rhubarbhinge/net/__init__.py
@@ -3,7 +3,7 @@
 from rhubarbhinge.net._close_reason import CloseReason
 from rhubarbhinge.net._datagrams import Datagrams
 from rhubarbhinge.net._frame_error import FrameError
-from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, frame
+from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, encode_frame
 from rhubarbhinge.net._links import DEFAULT_MAX_PENDING_BYTES, Links
 from rhubarbhinge.net._sockets import provide_listening_socket
 
@@ -15,6 +15,6 @@
     "FrameError",
     "FrameSplitter",
     "Links",
-    "frame",
+    "encode_frame",
     "provide_listening_socket",
 ]
--- a/rhubarbhinge/net/_frames.py
+++ b/rhubarbhinge/net/_frames.py
@@ -8,7 +8,7 @@
 MAX_FRAME_BYTES = 1024 * 1024
 
 
-def frame(data: bytes) -> bytes:
+def encode_frame(data: bytes) -> bytes:
     """Prefix a message with its length.
 
     :param data: an encoded message of at most :data:`MAX_FRAME_BYTES`.
--- a/rhubarbhinge/wire/__init__.py
+++ b/rhubarbhinge/wire/__init__.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from rhubarbhinge.net._frame_error import FrameError
-from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, frame
+from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, encode_frame
 from rhubarbhinge.wire._cancelbatch import CancelBatch
 from rhubarbhinge.wire._codec import Codec
 from rhubarbhinge.wire._columns import check_columns
@@ -76,7 +76,7 @@
     "ConfigDigest",
     "Member",
     "encode",
-    "frame",
+    "encode_frame",
     "open_datagram",
     "sign_datagram",
     "signed_hello",
--- a/rhubarbhinge/wire/tests/test_wire.py
+++ b/rhubarbhinge/wire/tests/test_wire.py
@@ -19,7 +19,7 @@
     check_hello,
     decode,
     encode,
-    frame,
+    encode_frame,
     open_datagram,
     sign_datagram,
     signed_hello,
@@ -70,7 +70,7 @@
     @PROFILE
     @given(st.lists(st.binary(min_size=1, max_size=80), max_size=8), st.integers(1, 50))
     def test_any_cut_of_the_stream_gives_the_same_frames(self, payloads, step):
-        stream = b"".join(frame(payload) for payload in payloads)
+        stream = b"".join(encode_frame(payload) for payload in payloads)
         splitter = FrameSplitter()
         got = []
         for start in range(0, len(stream), step):
--- a/standins/tests/test_live_badinput.py
+++ b/standins/tests/test_live_badinput.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from rhubarbhinge.wire import CancelBatch, Hello, encode, frame, sign_datagram, signed_hello
+from rhubarbhinge.wire import CancelBatch, Hello, encode, encode_frame, sign_datagram, signed_hello
 from standins.deployment import LOOPBACK
 from standins.tests._checks import search_violations
 from standins.tests._live import ACTION, TEXT, LiveCase
@@ -152,10 +152,10 @@
                 for data in (
                     b"\xff\xff\xff\x7f" + b"x" * 100,
                     b"\0\0\0\0",
-                    frame(b"x" * 64),
-                    frame(message),
-                    frame(encode(plain)),
-                    frame(encode(signed_hello(_OTHER_KEY, plain))),
+                    encode_frame(b"x" * 64),
+                    encode_frame(message),
+                    encode_frame(encode(plain)),
+                    encode_frame(encode(signed_hello(_OTHER_KEY, plain))),
                     b"\x10\0\0\0half",
                     b"GET / HTTP/1.1\r\n\r\n",
                 ):
