--- a/rhubarbhinge/daemons/_peerlinks.py
+++ b/rhubarbhinge/daemons/_peerlinks.py
@@ -238,7 +238,7 @@
     def _greeted(self, link: int, known: _Link) -> None:
         hello = known.handshake.peer
         known.peer = Peer(hello.name, hello.role, hello.failure_domain, hello.incarnation)
-        known.splitter.allow_largest()
+        known.splitter.allow_max_frame_size()
         older = self._link_by_name.get(hello.name)
         if older is not None and not self._replaces(known.peer, self._links[older].peer):
             self._refuse(link, "duplicate")
--- a/rhubarbhinge/net/_frames.py
+++ b/rhubarbhinge/net/_frames.py
@@ -33,7 +33,7 @@
         self._max_frame_bytes = max_frame_bytes
         self._pending = bytearray()
 
-    def allow_largest(self) -> None:
+    def allow_max_frame_size(self) -> None:
         """Raise the limit to :data:`MAX_FRAME_BYTES`, after the peer has been authenticated."""
         self._max_frame_bytes = MAX_FRAME_BYTES
 
