--- a/rhubarbhinge/delegation/_delegates.py
+++ b/rhubarbhinge/delegation/_delegates.py
@@ -131,7 +131,7 @@
         self._asking: dict[int, _Asking] = {}
         self._bad_until_ms: dict[str, float] = {}
         self._links = Links(
-            self._opened, self._received, self._closed, notice_silence=True
+            self._opened, self._received, self._closed, detect_dead_peers=True
         ).register(self)
 
     @property
--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -62,7 +62,7 @@
         self._lanes: dict[SearcherStart, Lane] = {}
         self._ended_checks = EndedChecks(timers, self.open_ahead)
         self._links = Links(
-            self._opened, self._received, self._closed, notice_silence=True
+            self._opened, self._received, self._closed, detect_dead_peers=True
         ).register(self)
 
     @property
--- a/rhubarbhinge/net/_links.py
+++ b/rhubarbhinge/net/_links.py
@@ -60,7 +60,8 @@
     :param on_close: called exactly once for each link, with the link and a :class:`CloseReason`.
     :param bind: IP address and port to listen on; None for outbound connections only.
     :param max_pending_bytes: limit of unsent bytes for one link; exceeding it closes the link.
-    :param notice_silence: whether outbound links are closed when the peer's host stops responding.
+    :param detect_dead_peers: whether outbound links are closed when the peer's host stops
+        responding.
     :param channel: the circuits channel; unique by default.
     :raises OSError: if the port can't be bound.
     :ivar sent_bytes: total number of bytes passed to :meth:`send`.
@@ -73,7 +74,7 @@
         on_close: Callable[[int, CloseReason], None],
         bind: tuple[str, int] | None = None,
         max_pending_bytes: int = DEFAULT_MAX_PENDING_BYTES,
-        notice_silence: bool = False,
+        detect_dead_peers: bool = False,
         channel: str | None = None,
     ):
         super().__init__(channel=channel or f"links-{next(_channels)}")
@@ -81,7 +82,7 @@
         self._on_data = on_data
         self._on_close = on_close
         self._max_pending_bytes = max_pending_bytes
-        self._notice_silence = notice_silence
+        self._detect_dead_peers = detect_dead_peers
         self.sent_bytes = 0
         self._numbers = itertools.count(1)
         self._links: dict[int, Link] = {}
@@ -109,7 +110,7 @@
         self._attach()
         number = next(self._numbers)
         try:
-            sock, error_code = connecting_socket(ip, port, self._notice_silence)
+            sock, error_code = connecting_socket(ip, port, self._detect_dead_peers)
         except OSError:
             self._queue_close_notice(number, CloseReason.UNREACHABLE)
             return number
--- a/rhubarbhinge/net/_sockets.py
+++ b/rhubarbhinge/net/_sockets.py
@@ -52,13 +52,14 @@
 
 
 def connecting_socket(
-    ip: str, port: int, notice_silence: bool = False
+    ip: str, port: int, detect_dead_peers: bool = False
 ) -> tuple[socket.socket, int]:
     """Create a TCP socket and start connecting it.
 
     :param ip: IP address of the peer.
     :param port: port of the peer.
-    :param notice_silence: whether the connection is dropped when the peer's host stops responding.
+    :param detect_dead_peers: whether the connection is dropped when the peer's host stops
+        responding.
     :returns: the non-blocking socket, and the error number of the connect call.
     :raises OSError: if no socket can be created or the address is invalid.
     """
@@ -66,7 +67,7 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    if notice_silence:
+    if detect_dead_peers:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
--- a/rhubarbhinge/web/_client.py
+++ b/rhubarbhinge/web/_client.py
@@ -63,7 +63,7 @@
         self._idle: dict[Address, dict[int, Subscription]] = {}
         self._addresses: dict[int, Address] = {}
         self._connections = HttpConnections(
-            timers, self._opened, self._replied, self._closed, notice_silence=True
+            timers, self._opened, self._replied, self._closed, detect_dead_peers=True
         ).register(self)
 
     def call(
--- a/rhubarbhinge/web/_connections.py
+++ b/rhubarbhinge/web/_connections.py
@@ -46,7 +46,7 @@
     :param on_open: called with a connection once it is established.
     :param on_reply: called with a connection and the reply to its request.
     :param on_close: called exactly once for each connection, with the reason.
-    :param notice_silence: whether connections are closed when the peer's host stops responding.
+    :param detect_dead_peers: whether connections are closed when the peer's host stops responding.
     """
 
     channel = "http-connections"
@@ -57,7 +57,7 @@
         on_open: Callable[[int], None],
         on_reply: Callable[[int, Reply], None],
         on_close: Callable[[int, str], None],
-        notice_silence: bool = False,
+        detect_dead_peers: bool = False,
     ):
         super().__init__()
         self._timers = timers
@@ -66,7 +66,7 @@
         self._on_close = on_close
         self._conns: dict[int, _Conn] = {}
         self._links = Links(
-            self._opened, self._received, self._closed, notice_silence=notice_silence
+            self._opened, self._received, self._closed, detect_dead_peers=detect_dead_peers
         ).register(self)
 
     def open(self, ip: str, port: int, timeout_ms: float) -> int:
