--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -156,7 +156,7 @@
     def _take_idle(self, lane: Lane, now_ms: float) -> Connection | None:
         while lane.idle:
             conn = lane.idle.pop()
-            if conn.idle_until_ms > now_ms and self._links.is_quiet(conn.link):
+            if conn.idle_until_ms > now_ms and self._links.is_idle(conn.link):
                 return conn
             self._drop(conn)
         return None
--- a/rhubarbhinge/net/_links.py
+++ b/rhubarbhinge/net/_links.py
@@ -205,7 +205,7 @@
         found = self._links.get(link)
         return 0 if found is None else found.pending_bytes
 
-    def is_quiet(self, link: int) -> bool:
+    def is_idle(self, link: int) -> bool:
         """Return whether a link is open and has neither unread data nor an unread end of stream.
 
         :param link: the link.
--- a/rhubarbhinge/net/tests/test_links.py
+++ b/rhubarbhinge/net/tests/test_links.py
@@ -184,7 +184,7 @@
             run_until(self.root, lambda: False, 0.25)
             self.assertLess(accept.call_count, 10)
         self.until(lambda: self.far.opened)
-        self.assertTrue(self.near.links.is_quiet(link))
+        self.assertTrue(self.near.links.is_idle(link))
 
     def test_self_connection_is_refused(self):
         with mock.patch("rhubarbhinge.net._links.is_self_connected", return_value=True):
--- a/rhubarbhinge/web/_connections.py
+++ b/rhubarbhinge/web/_connections.py
@@ -109,7 +109,7 @@
         if found is None or not found.is_open or found.parser is not None:
             raise RuntimeError(f"connection {conn} is not open or has a pending request")
         data = encode_request(method, path, found.host, body, headers)
-        if found.close_reason or not self._links.is_quiet(conn):
+        if found.close_reason or not self._links.is_idle(conn):
             return False
         found.parser = ReplyParser(method)
         found.timer = self._timers.after(timeout_ms, lambda: self._abort(conn, found, TIMEOUT))
@@ -134,7 +134,7 @@
         found = self._conns.get(conn)
         if found is None or found.parser is not None or found.close_reason:
             return False
-        return self._links.is_quiet(conn)
+        return self._links.is_idle(conn)
 
     def _opened(self, conn: int, inbound: bool) -> None:
         self._conns[conn].is_open = True
