--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -89,7 +89,7 @@
         self.timers = TimerService().register(self)
         self._settled_at_ms = self.timers.now_ms() + SETTLE_MS
         store_client = HttpClient(self.timers).register(self)
-        peer_client = HttpClient(self.timers, takes_gzip=True).register(self)
+        peer_client = HttpClient(self.timers, accept_gzip=True).register(self)
         self._fleet = Fleet(self.timers.now_ms, self._searcher_left)
         self._reach = DomainReach(
             self.timers.now_ms,
--- a/rhubarbhinge/peers/tests/telling.py
+++ b/rhubarbhinge/peers/tests/telling.py
@@ -112,7 +112,7 @@
 
     def __init__(self, root: BaseComponent, timers: TimerService, name: str, reader: Reader):
         self.store = SilentSource(timers)
-        client = HttpClient(timers, takes_gzip=True).register(root)
+        client = HttpClient(timers, accept_gzip=True).register(root)
         self.source = SharedSource(timers, client, self.store, name, "hall-a", reader.port)
         self.source.know(
             OneReader(Member("vm-1", "127.0.0.1", "hall-a", 1)),
--- a/rhubarbhinge/web/_client.py
+++ b/rhubarbhinge/web/_client.py
@@ -48,15 +48,16 @@
     """Makes HTTP calls to any address; requests are never retried.
 
     :param timers: the timer service.
-    :param takes_gzip: whether to accept gzip-compressed replies, which are decoded before delivery.
+    :param accept_gzip: whether to accept gzip-compressed replies, which are decoded before
+        delivery.
     """
 
     channel = "http-client"
 
-    def __init__(self, timers: TimerService, takes_gzip: bool = False):
+    def __init__(self, timers: TimerService, accept_gzip: bool = False):
         super().__init__()
         self._timers = timers
-        self._takes_gzip = takes_gzip
+        self._accept_gzip = accept_gzip
         self._call_ids = itertools.count(1)
         self._calls: dict[int, _Call] = {}
         self._by_conn: dict[int, int] = {}
@@ -126,7 +127,7 @@
     def _send(self, conn: int, call: _Call) -> None:
         call.conn = conn
         method, path, body, headers = call.request_args
-        if self._takes_gzip:
+        if self._accept_gzip:
             headers += ACCEPT_GZIP
         remaining_ms = call.deadline_ms - self._timers.now_ms()
         call.sent = self._connections.request(conn, method, path, body, headers, remaining_ms)
@@ -139,7 +140,7 @@
     def _replied(self, conn: int, reply: Reply) -> None:
         call_id = self._by_conn.pop(conn)
         self._keep_idle(conn)
-        decoded_reply = decode_content(reply) if self._takes_gzip else reply
+        decoded_reply = decode_content(reply) if self._accept_gzip else reply
         self._finish(call_id, Failure(MALFORMED, True) if decoded_reply is None else decoded_reply)
 
     def _closed(self, conn: int, reason: str) -> None:
--- a/rhubarbhinge/web/tests/test_content_coding.py
+++ b/rhubarbhinge/web/tests/test_content_coding.py
@@ -44,12 +44,12 @@
 
 
 class ClientTest(unittest.TestCase):
-    def call(self, takes_gzip: bool, handle) -> tuple[list, HttpServer]:
+    def call(self, accept_gzip: bool, handle) -> tuple[list, HttpServer]:
         root = BaseComponent()
         self.addCleanup(stop_tree, root)
         timers = TimerService().register(root)
         server = HttpServer(timers, handle, ("127.0.0.1", 0)).register(root)
-        client = HttpClient(timers, takes_gzip).register(root)
+        client = HttpClient(timers, accept_gzip).register(root)
         outcomes = []
         for _ in range(2):
             client.call("127.0.0.1", server.bound_port, "GET", "/x", on_done=outcomes.append)
@@ -58,12 +58,12 @@
 
     def test_only_client_that_accepts_gzip_gets_compressed_body(self):
         sent = {}
-        for takes_gzip in (False, True):
+        for accept_gzip in (False, True):
             outcomes, server = self.call(
-                takes_gzip, lambda request, responder: responder.answer(Response(200, LONG))
+                accept_gzip, lambda request, responder: responder.answer(Response(200, LONG))
             )
             self.assertEqual([outcome.body for outcome in outcomes], [LONG, LONG])
-            sent[takes_gzip] = server.sent_bytes
+            sent[accept_gzip] = server.sent_bytes
         self.assertLess(10 * sent[True], sent[False])
 
     def test_body_sent_repeatedly_is_compressed_once(self):
