--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -274,7 +274,7 @@
             self._event_log.flush()
 
     def _serving_changed(self, serving: bool) -> None:
-        self._callers.close_after_answers(not serving)
+        self._callers.close_after_responses(not serving)
 
     def _accept_callers(self) -> None:
         if not self._accepting:
--- a/rhubarbhinge/web/_server.py
+++ b/rhubarbhinge/web/_server.py
@@ -92,7 +92,7 @@
         """
         self._limits = limits
 
-    def close_after_answers(self, closes: bool) -> None:
+    def close_after_responses(self, closes: bool) -> None:
         """Set whether connections are closed after their next response.
 
         :param closes: whether they are closed.
