--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -285,7 +285,7 @@
         self._accept_callers()
         self._peers.tell_plan()
         self._gateway.on_plan(plan)
-        self._callers.limit(_limits(plan.limits))
+        self._callers.set_limits(_limits(plan.limits))
         self._serving.check()
 
     # Stopping.
--- a/rhubarbhinge/web/_server.py
+++ b/rhubarbhinge/web/_server.py
@@ -82,7 +82,7 @@
         """Number of response bytes not written yet; a graceful stop waits until it is 0."""
         return self._links.pending_bytes
 
-    def limit(self, limits: HttpLimits) -> None:
+    def set_limits(self, limits: HttpLimits) -> None:
         """Change the limits.
 
         Size limits apply to connections accepted from now on, timeouts to waits that begin from now
