--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -312,5 +312,5 @@
         connections=MOST_CALLER_CONNECTIONS,
         header_timeout_ms=limits.header_timeout_ms,
         idle_timeout_ms=limits.idle_timeout_ms,
-        gzip_least_bytes=NEVER_GZIP_BYTES,
+        gzip_min_bytes=NEVER_GZIP_BYTES,
     )
--- a/rhubarbhinge/web/_limits.py
+++ b/rhubarbhinge/web/_limits.py
@@ -12,7 +12,7 @@
     :param header_timeout_ms: timeout for receiving a request's headers, in milliseconds.
     :param body_timeout_ms: timeout for receiving a request's body, in milliseconds.
     :param idle_timeout_ms: timeout of a connection between requests, in milliseconds.
-    :param gzip_least_bytes: minimum size of a body that is compressed for clients that accept it.
+    :param gzip_min_bytes: minimum size of a body that is compressed for clients that accept it.
     """
 
     header_bytes: int = 16 * 1024
@@ -21,4 +21,4 @@
     header_timeout_ms: float = 5_000.0
     body_timeout_ms: float = 20_000.0
     idle_timeout_ms: float = 60_000.0
-    gzip_least_bytes: int = 1024
+    gzip_min_bytes: int = 1024
--- a/rhubarbhinge/web/_response_writing.py
+++ b/rhubarbhinge/web/_response_writing.py
@@ -21,19 +21,19 @@
 
 
 def encode_response(
-    response: Response, request: Request | None, closes_connection: bool, gzip_least_bytes: int = 0
+    response: Response, request: Request | None, closes_connection: bool, gzip_min_bytes: int = 0
 ) -> bytes:
     """Encode a response.
 
     :param response: the response.
     :param request: the request; None if no request could be parsed.
     :param closes_connection: whether the connection is closed after the response.
-    :param gzip_least_bytes: minimum size of a body that is compressed if the client accepts it.
+    :param gzip_min_bytes: minimum size of a body that is compressed if the client accepts it.
     :returns: the bytes to send.
     :raises ValueError: if the headers are invalid.
     """
     body, headers = response.body, response.headers
-    if request and len(body) >= gzip_least_bytes and _may_compress(request, response):
+    if request and len(body) >= gzip_min_bytes and _may_compress(request, response):
         body = _gzip(body)
         headers += GZIP_HEADERS
     start = _encode_head_start(response.status, response.content_type, headers, closes_connection)
--- a/rhubarbhinge/web/_server.py
+++ b/rhubarbhinge/web/_server.py
@@ -168,7 +168,7 @@
         parser = connection.parser
         reusable = parser.reusable and not self._stopping and not self._closes_after_response
         data = encode_response(
-            response, connection.request, not reusable, self._limits.gzip_least_bytes
+            response, connection.request, not reusable, self._limits.gzip_min_bytes
         )
         self._links.send(connection.link, data)
         # Other work in this loop iteration would delay the response if it were written at the end.
--- a/rhubarbhinge/web/tests/test_server.py
+++ b/rhubarbhinge/web/tests/test_server.py
@@ -9,7 +9,7 @@
 GET = b"GET %b HTTP/1.1\r\nHost: a\r\n\r\n"
 POST = b"POST / HTTP/1.1\r\nHost: a\r\n%b\r\n\r\n"
 TIMEOUTS = {"header_timeout_ms": 100, "body_timeout_ms": 100, "idle_timeout_ms": 100}
-SMALL = HttpLimits(header_bytes=1000, body_bytes=2000, gzip_least_bytes=300, **TIMEOUTS)
+SMALL = HttpLimits(header_bytes=1000, body_bytes=2000, gzip_min_bytes=300, **TIMEOUTS)
 
 
 class HttpServerTest(unittest.TestCase):
