--- a/rhubarbhinge/web/_server.py
+++ b/rhubarbhinge/web/_server.py
@@ -12,7 +12,7 @@
 from rhubarbhinge.web._request_parser import Refusal, RequestParser
 from rhubarbhinge.web._responder import Responder
 from rhubarbhinge.web._response import Response
-from rhubarbhinge.web._response_writing import CONTINUE_RESPONSE, encode_response
+from rhubarbhinge.web._response_encoding import CONTINUE_RESPONSE, encode_response
 
 
 class _Connection:
--- a/rhubarbhinge/web/tests/test_content_coding.py
+++ b/rhubarbhinge/web/tests/test_content_coding.py
@@ -15,7 +15,7 @@
     Reply,
     Response,
     _content_coding,
-    _response_writing,
+    _response_encoding,
 )
 from rhubarbhinge.web._content_coding import decode_content
 
@@ -69,7 +69,7 @@
     def test_body_sent_repeatedly_is_compressed_once(self):
         body = LONG + b"once"
         with mock.patch.object(
-            _response_writing.gzip, "compress", wraps=gzip.compress
+            _response_encoding.gzip, "compress", wraps=gzip.compress
         ) as compressed:
             self.call(True, lambda request, responder: responder.answer(Response(200, body)))
         self.assertEqual(compressed.call_count, 1)
