--- a/rhubarbhinge/daemons/_waker.py
+++ b/rhubarbhinge/daemons/_waker.py
@@ -3,7 +3,7 @@
 import math
 from collections.abc import Callable
 
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 
 #: A core is woken no sooner than this, so that a busy node is not all timers.
 _LEAST_SLEEP_MS = 1.0
@@ -23,7 +23,7 @@
         self._timers = timers
         self._tick = tick
         self._most_sleep_ms = most_sleep_ms
-        self._subscription: Subscription | None = None
+        self._subscription: TimerHandle | None = None
         self._wake_ms = math.inf
 
     def wake_by(self, due_ms: float | None) -> None:
--- a/rhubarbhinge/delegation/_delegates.py
+++ b/rhubarbhinge/delegation/_delegates.py
@@ -24,7 +24,7 @@
 from rhubarbhinge.members import Member, Membership
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 
 TAKEN_MS = 30.0
 """An ask that has not been taken by then is lost; taking one needs a round trip of 2 to 3 ms."""
@@ -68,7 +68,7 @@
     request_id: str
     on_answer: OnAnswer
     grant: GrantAttempts
-    timer: Subscription
+    timer: TimerHandle
     sent_ms: float
     due_ms: float
     answered: bool = False
--- a/rhubarbhinge/delegation/_serving.py
+++ b/rhubarbhinge/delegation/_serving.py
@@ -21,7 +21,7 @@
 from rhubarbhinge.gather import FarNews, ShardCalls, ShardEnd, merge_greatest
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 
 TermsOf = Callable[[Ask, Delays], CallTerms]
 """Gives what is granted to the calls of an ask."""
@@ -175,7 +175,7 @@
         terms = replace(terms, control=self.leave)
         self._calls = ShardCalls(surroundings, request, terms, delays, self._ended, self._story)
         self._due_ms = surroundings.timers.now_ms() + ask.answer_in_ms
-        self._timer: Subscription | None = None
+        self._timer: TimerHandle | None = None
 
     def start(self) -> None:
         """Send to the shards, unless it was cancelled meanwhile."""
--- a/rhubarbhinge/forward/_ended_checks.py
+++ b/rhubarbhinge/forward/_ended_checks.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.fleet import ObservedSearcher, SearcherStart
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 
 CHECK_MS = 30.0
 """A searcher whose connection broke is checked for so long at most. Where nothing listens any more
@@ -28,7 +28,7 @@
         self._timers = timers
         self._probe = probe
         self._waiting: dict[SearcherStart, list[OnChecked]] = {}
-        self._due: dict[SearcherStart, Subscription] = {}
+        self._due: dict[SearcherStart, TimerHandle] = {}
 
     def check(self, observed: ObservedSearcher, on_checked: OnChecked) -> None:
         """Check a searcher.
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -12,7 +12,7 @@
 from rhubarbhinge.forward._story import Story
 from rhubarbhinge.forward._surroundings import Surroundings
 from rhubarbhinge.telemetry import SubQueryKind
-from rhubarbhinge.timing import Subscription
+from rhubarbhinge.timing import TimerHandle
 
 MOST_REFUSED_SENDS = 4
 """Searchers that refuse cost arrivals but run nothing; so many are asked for one call at most."""
@@ -89,7 +89,7 @@
         self._failure: SearcherReply | None = None
         self._why: Why | None = None
         self._may_have_run = False
-        self._timer: Subscription | None = None
+        self._timer: TimerHandle | None = None
         self.over = False
 
     @property
--- a/rhubarbhinge/gateway/_handling.py
+++ b/rhubarbhinge/gateway/_handling.py
@@ -22,7 +22,7 @@
 from rhubarbhinge.plans import Route, ServingPlan
 from rhubarbhinge.quarantine import Quarantined, RequestWatch
 from rhubarbhinge.telemetry import log_event
-from rhubarbhinge.timing import Subscription
+from rhubarbhinge.timing import TimerHandle
 from rhubarbhinge.web import Responder, Response
 
 ANSWER_SHARE = 0.96
@@ -80,7 +80,7 @@
         self._answer_by_ms = self._deadline_ms
         self._missing: tuple[str, ...] = ()
         self._story = Story(asked.id, self._around.timers.now_ms)
-        self._timer: Subscription | None = None
+        self._timer: TimerHandle | None = None
         self._cancel: Callable[[], None] | None = None
         self._watch: RequestWatch | None = None
 
--- a/rhubarbhinge/gateway/tests/simulated_links.py
+++ b/rhubarbhinge/gateway/tests/simulated_links.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.net import CloseReason
-from rhubarbhinge.timing import Subscription
+from rhubarbhinge.timing import TimerHandle
 from rhubarbhinge.utils.fake_timers import FakeTimers
 
 LEAST_NET_MS, MOST_NET_MS = 0.2, 3.0
@@ -46,14 +46,14 @@
         self._timers = timers
         self.paused_until_ms = 0.0
         self.now_ms = timers.now_ms
-        self._held: deque[Subscription] = deque()
+        self._held: deque[TimerHandle] = deque()
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> Subscription:
-        subscription = Subscription(callback, None, lambda: None)
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
+        subscription = TimerHandle(callback, None, lambda: None)
         self._timers.after(delay_ms, lambda: self._run(subscription))
         return subscription
 
-    def _run(self, subscription: Subscription) -> None:
+    def _run(self, subscription: TimerHandle) -> None:
         if not subscription.active:
             return
         left_ms = self.paused_until_ms - self.now_ms()
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -12,7 +12,7 @@
 from rhubarbhinge.members._member import Member, MemberState, supersedes
 from rhubarbhinge.members._member_table import MemberTable, digest_of
 from rhubarbhinge.members._receivers import far_speakers, followers, predecessors, speaker_rank
-from rhubarbhinge.timing import Subscription
+from rhubarbhinge.timing import TimerHandle
 from rhubarbhinge.utils.revision import Revision
 
 BEAT_MS = 1_000.0
@@ -70,7 +70,7 @@
     def now_ms(self) -> float:
         """Read the clock."""
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> Subscription:
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
         """Call back once."""
 
 
--- a/rhubarbhinge/net/_link.py
+++ b/rhubarbhinge/net/_link.py
@@ -3,7 +3,7 @@
 import socket
 from enum import Enum, auto
 
-from rhubarbhinge.timing import Subscription
+from rhubarbhinge.timing import TimerHandle
 
 MAX_BUFFERS_PER_SEND = 512
 """Maximum number of buffers in one ``sendmsg`` call; Linux accepts up to 1024 (``IOV_MAX``)."""
@@ -52,7 +52,7 @@
         self.pending_bytes = 0
         self.dirty = False
         self.watching_writable = False
-        self.timer: Subscription | None = None
+        self.timer: TimerHandle | None = None
 
     def write_pending(self) -> bool:
         """Write as much pending data as the kernel accepts.
--- a/rhubarbhinge/published/_unproven.py
+++ b/rhubarbhinge/published/_unproven.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Container
 
 from rhubarbhinge.fleet import Searcher
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 
 PROOF_MS = 5_000.0
 """A searcher that is still published after so long has written again: its lease, three heartbeats
@@ -33,7 +33,7 @@
         self._confirmed_ms = confirmed_ms
         self._on_proven = on_proven
         self._searchers: dict[str, Searcher] = {}
-        self._checks: dict[str, Subscription] = {}
+        self._checks: dict[str, TimerHandle] = {}
 
     def holds(self, searcher: Searcher) -> bool:
         """Tell whether a start of a searcher, or a later one, is kept aside.
--- a/rhubarbhinge/timing/_service.py
+++ b/rhubarbhinge/timing/_service.py
@@ -7,7 +7,7 @@
 
 from circuits import BaseComponent, handler
 
-from rhubarbhinge.timing._subscription import Subscription
+from rhubarbhinge.timing._timer_handle import TimerHandle
 from rhubarbhinge.utils.failstop import fail_stop
 
 DEFAULT_PAUSE_THRESHOLD_MS = 500.0
@@ -53,7 +53,7 @@
         self.now_ms = clock
         self.is_polling = False
         self._pause_threshold_ms = pause_threshold_ms
-        self._heap: list[tuple[float, int, Subscription]] = []
+        self._heap: list[tuple[float, int, TimerHandle]] = []
         self._sequence = itertools.count()
         self._cancelled_count = 0
         self._pause_callbacks: list[Callable[[float], None]] = []
@@ -61,18 +61,18 @@
         self._requested_wait_ms: float | None = 0.0
         self._is_deferring_timers = False
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> Subscription:
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
         """Schedule a callback to run once.
 
         :param delay_ms: delay in milliseconds.
         :param callback: called without arguments.
         :returns: a handle to cancel the timer with.
         """
-        subscription = Subscription(callback, None, self._count_cancelled)
+        subscription = TimerHandle(callback, None, self._count_cancelled)
         self._push(self.now_ms() + delay_ms, subscription)
         return subscription
 
-    def every(self, period_ms: float, callback: Callable[[], None]) -> Subscription:
+    def every(self, period_ms: float, callback: Callable[[], None]) -> TimerHandle:
         """Schedule a callback to run periodically, first after one period.
 
         Periods missed during a pause are skipped.
@@ -84,7 +84,7 @@
         """
         if period_ms <= 0:
             raise ValueError("the period must be greater than 0 ms")
-        subscription = Subscription(callback, period_ms, self._count_cancelled)
+        subscription = TimerHandle(callback, period_ms, self._count_cancelled)
         self._push(self.now_ms() + period_ms, subscription)
         return subscription
 
@@ -148,7 +148,7 @@
             else:
                 self._cancelled_count = max(0, self._cancelled_count - 1)
 
-    def _run(self, due_ms: float, now_ms: float, subscription: Subscription) -> None:
+    def _run(self, due_ms: float, now_ms: float, subscription: TimerHandle) -> None:
         period_ms = subscription.period_ms
         if period_ms is None:
             subscription.active = False
@@ -167,7 +167,7 @@
         except Exception as error:
             fail_stop(error)
 
-    def _push(self, due_ms: float, subscription: Subscription) -> None:
+    def _push(self, due_ms: float, subscription: TimerHandle) -> None:
         heapq.heappush(self._heap, (due_ms, next(self._sequence), subscription))
 
     def _count_cancelled(self) -> None:
--- a/rhubarbhinge/timing/_subscription.py
+++ b/rhubarbhinge/timing/_timer_handle.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 
-class Subscription:
+class TimerHandle:
     """A timer that runs once or periodically until it is cancelled.
 
     :param callback: called without arguments when the timer is due.
--- a/rhubarbhinge/utils/fake_timers.py
+++ b/rhubarbhinge/utils/fake_timers.py
@@ -4,7 +4,7 @@
 import itertools
 from collections.abc import Callable
 
-from rhubarbhinge.timing import Subscription
+from rhubarbhinge.timing import TimerHandle
 
 
 class FakeTimers:
@@ -16,7 +16,7 @@
     def __init__(self, now_ms: float = 1_000.0):
         self._now_ms = now_ms
         self._sequence = itertools.count()
-        self._heap: list[tuple[float, int, Subscription]] = []
+        self._heap: list[tuple[float, int, TimerHandle]] = []
 
     def now_ms(self) -> float:
         """Return the current time.
@@ -25,14 +25,14 @@
         """
         return self._now_ms
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> Subscription:
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
         """Schedule a callback to run once.
 
         :param delay_ms: delay in milliseconds.
         :param callback: called without arguments.
         :returns: a handle to cancel the timer with.
         """
-        subscription = Subscription(callback, None, lambda: None)
+        subscription = TimerHandle(callback, None, lambda: None)
         entry = (self._now_ms + delay_ms, next(self._sequence), subscription)
         heapq.heappush(self._heap, entry)
         return subscription
--- a/rhubarbhinge/web/_client.py
+++ b/rhubarbhinge/web/_client.py
@@ -5,7 +5,7 @@
 
 from circuits import BaseComponent
 
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 from rhubarbhinge.web._connections import MALFORMED, TIMEOUT, HttpConnections
 from rhubarbhinge.web._content_coding import ACCEPT_GZIP, decode_content
 from rhubarbhinge.web._failure import Failure
@@ -41,7 +41,7 @@
         self.on_done = on_done
         self.conn = 0
         self.sent = False
-        self.timer: Subscription | None = None
+        self.timer: TimerHandle | None = None
 
 
 class HttpClient(BaseComponent):
@@ -61,7 +61,7 @@
         self._call_ids = itertools.count(1)
         self._calls: dict[int, _Call] = {}
         self._by_conn: dict[int, int] = {}
-        self._idle: dict[Address, dict[int, Subscription]] = {}
+        self._idle: dict[Address, dict[int, TimerHandle]] = {}
         self._addresses: dict[int, Address] = {}
         self._connections = HttpConnections(
             timers, self._opened, self._replied, self._closed, detect_dead_peers=True
--- a/rhubarbhinge/web/_connections.py
+++ b/rhubarbhinge/web/_connections.py
@@ -5,7 +5,7 @@
 from circuits import BaseComponent
 
 from rhubarbhinge.net import CloseReason, Links
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 from rhubarbhinge.web._reply import Reply
 from rhubarbhinge.web._reply_parser import ReplyFault, ReplyParser
 from rhubarbhinge.web._request_encoding import encode_request
@@ -32,7 +32,7 @@
         self.host = host
         self.is_open = False
         self.parser: ReplyParser | None = None
-        self.timer: Subscription | None = None
+        self.timer: TimerHandle | None = None
         self.close_reason = ""
 
 
--- a/rhubarbhinge/web/_server.py
+++ b/rhubarbhinge/web/_server.py
@@ -5,7 +5,7 @@
 from circuits import BaseComponent
 
 from rhubarbhinge.net import CloseReason, Links
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 from rhubarbhinge.web._errors import too_many_connections
 from rhubarbhinge.web._limits import HttpLimits
 from rhubarbhinge.web._request import Request
@@ -29,7 +29,7 @@
         self.parser = parser
         self.responder: Responder | None = None
         self.request: Request | None = None
-        self.timer: Subscription | None = None
+        self.timer: TimerHandle | None = None
         self.phase = ""
 
 
