--- a/rhubarbhinge/gateway/_figures.py
+++ b/rhubarbhinge/gateway/_figures.py
@@ -7,34 +7,42 @@
 from rhubarbhinge.published import Follower
 from rhubarbhinge.quarantine import Quarantine
 from rhubarbhinge.retries import RetryBudget
-from rhubarbhinge.telemetry import EventLog, Figure, Metrics
+from rhubarbhinge.telemetry import EventLog, Metrics, ScalarMetric
 
-CONNECTIONS = Figure("searcher_connections", "Connections to searchers, open or being opened")
-WAITING = Figure("requests_waiting", "Requests that wait for a connection to a searcher")
-UNREACHABLE = Figure("searchers_unreachable", "Searchers to which no connection can be made")
-EVACUATED = Figure("evacuated_domains", "Failure domains whose searchers get no requests")
-BAD_LOADS = Figure("bad_loads_total", "Replies of searchers whose load made no sense", True)
-QUARANTINED = Figure("quarantined_requests", "Requests refused as they end searchers")
-QUARANTINE_REFUSED = Figure(
+CONNECTIONS = ScalarMetric("searcher_connections", "Connections to searchers, open or being opened")
+WAITING = ScalarMetric("requests_waiting", "Requests that wait for a connection to a searcher")
+UNREACHABLE = ScalarMetric("searchers_unreachable", "Searchers to which no connection can be made")
+EVACUATED = ScalarMetric("evacuated_domains", "Failure domains whose searchers get no requests")
+BAD_LOADS = ScalarMetric("bad_loads_total", "Replies of searchers whose load made no sense", True)
+QUARANTINED = ScalarMetric("quarantined_requests", "Requests refused as they end searchers")
+QUARANTINE_REFUSED = ScalarMetric(
     "quarantine_refused_total", "Attempts at quarantined requests that were refused", True
 )
-EXTRA_SENDS = Figure("extra_sends_total", "Hedges and retries that the budget granted", True)
-EXTRA_REFUSED = Figure("extra_sends_refused_total", "Hedges and retries that it did not", True)
-BUDGET_LEFT = Figure("extra_sends_left", "Extra sends left for the service that has least")
-STORE_CALLS = Figure("platform_calls_total", "Reads and watches of the platform's store", True)
-READER_CALLS = Figure("reader_calls_total", "Waits for changes at another entry", True)
-STORE_ERA = Figure("store_era", "Era of the store that is known: its returns from copies")
-UNUSABLE = Figure("unusable_entries", "Keys of the store that hold what can't be used")
-UNUSABLE_FOUND = Figure("unusable_entries_total", "Such values read since the start", True)
+EXTRA_SENDS = ScalarMetric("extra_sends_total", "Hedges and retries that the budget granted", True)
+EXTRA_REFUSED = ScalarMetric(
+    "extra_sends_refused_total", "Hedges and retries that it did not", True
+)
+BUDGET_LEFT = ScalarMetric("extra_sends_left", "Extra sends left for the service that has least")
+STORE_CALLS = ScalarMetric(
+    "platform_calls_total", "Reads and watches of the platform's store", True
+)
+READER_CALLS = ScalarMetric("reader_calls_total", "Waits for changes at another entry", True)
+STORE_ERA = ScalarMetric("store_era", "Era of the store that is known: its returns from copies")
+UNUSABLE = ScalarMetric("unusable_entries", "Keys of the store that hold what can't be used")
+UNUSABLE_FOUND = ScalarMetric("unusable_entries_total", "Such values read since the start", True)
 LINK_BYTES = {
-    "callers": Figure("sent_to_callers_bytes_total", "Bytes of answers to callers", True),
-    "searchers": Figure("sent_to_searchers_bytes_total", "Bytes of requests to searchers", True),
-    "asks": Figure("sent_asks_bytes_total", "Bytes of asks to other entries", True),
-    "parts": Figure("sent_parts_bytes_total", "Bytes of parts for other entries", True),
-    "state": Figure("sent_state_bytes_total", "Bytes of published state for others", True),
+    "callers": ScalarMetric("sent_to_callers_bytes_total", "Bytes of answers to callers", True),
+    "searchers": ScalarMetric(
+        "sent_to_searchers_bytes_total", "Bytes of requests to searchers", True
+    ),
+    "asks": ScalarMetric("sent_asks_bytes_total", "Bytes of asks to other entries", True),
+    "parts": ScalarMetric("sent_parts_bytes_total", "Bytes of parts for other entries", True),
+    "state": ScalarMetric("sent_state_bytes_total", "Bytes of published state for others", True),
 }
 """What this entry sends, by kind."""
-LINES_DROPPED = Figure("log_lines_dropped_total", "Lines above the log's budget, or unread", True)
+LINES_DROPPED = ScalarMetric(
+    "log_lines_dropped_total", "Lines above the log's budget, or unread", True
+)
 
 
 class EntryFigures:
--- a/rhubarbhinge/telemetry/_metrics.py
+++ b/rhubarbhinge/telemetry/_metrics.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from rhubarbhinge.telemetry._bucket_histogram import BucketHistogram
-from rhubarbhinge.telemetry._figure import Figure
 from rhubarbhinge.telemetry._labels import Labels
 from rhubarbhinge.telemetry._log_histogram import BOUNDS, LogHistogram
+from rhubarbhinge.telemetry._scalar_metric import ScalarMetric
 from rhubarbhinge.telemetry._sub_query_kind import SubQueryKind
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         self._drains = 0
         self._slots: dict[str, tuple[int, int]] = {}
         self._queues: dict[str, int] = {}
-        self._figures: dict[Figure, float] = {}
+        self._figures: dict[ScalarMetric, float] = {}
         self._loop_lag = LogHistogram()
 
     def observe_latency(self, tenant: str, class_name: str, latency_ms: float) -> None:
@@ -146,7 +146,7 @@
         """
         self._queues[class_name] = length
 
-    def show(self, figure: Figure, value: float) -> None:
+    def show(self, figure: ScalarMetric, value: float) -> None:
         """Set the value of a metric.
 
         :param figure: the metric.
@@ -244,7 +244,7 @@
             _rows("outcome", self._runs),
         )
         for figure, value in self._figures.items():
-            if figure.only_grows:
+            if figure.is_counter:
                 exposition.counter(PREFIX + figure.name, figure.help, [({}, value)])
 
     def _add_gauges(self, exposition: "Exposition") -> None:
@@ -264,7 +264,7 @@
             PREFIX + "queue_length", "Requests that wait", _rows("class", self._queues)
         )
         for figure, value in self._figures.items():
-            if not figure.only_grows:
+            if not figure.is_counter:
                 exposition.gauge(PREFIX + figure.name, figure.help, [({}, value)])
 
 
--- a/rhubarbhinge/telemetry/_figure.py
+++ b/rhubarbhinge/telemetry/_scalar_metric.py
@@ -4,14 +4,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class ScalarMetric:
     """A metric with a single value.
 
     :param name: name of the metric, without the common prefix.
     :param help: short description.
-    :param only_grows: whether it is a counter rather than a gauge.
+    :param is_counter: whether it is a counter rather than a gauge.
     """
 
     name: str
     help: str
-    only_grows: bool = False
+    is_counter: bool = False
