--- a/rhubarbhinge/telemetry/_metrics.py
+++ b/rhubarbhinge/telemetry/_metrics.py
@@ -146,7 +146,7 @@
         """
         self._queues[class_name] = length
 
-    def show(self, figure: ScalarMetric, value: float) -> None:
+    def set_scalar(self, figure: ScalarMetric, value: float) -> None:
         """Set the value of a metric.
 
         :param figure: the metric.
