--- a/rhubarbhinge/api/_parse.py
+++ b/rhubarbhinge/api/_parse.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.api._commands import RunCommand, SearchCommand
 from rhubarbhinge.api._rawfield import raw_field
 from rhubarbhinge.register import Register, Rules
-from rhubarbhinge.utils.nesting import is_nested_below
+from rhubarbhinge.utils.nesting import is_nesting_within
 
 #: Longest search text: far above what people type on phones.
 MOST_TEXT_CHARACTERS = 1_000
@@ -97,7 +97,7 @@
         )
     if not isinstance(document.get("body"), dict):
         return _bad("body has to be an object", "Send the action's own fields in it.")
-    if not is_nested_below(document, MOST_DEPTH):
+    if not is_nesting_within(document, MOST_DEPTH):
         return _bad(f"the body is nested deeper than {MOST_DEPTH} levels", "Send a flatter body.")
     return RunCommand(action, body)
 
--- a/rhubarbhinge/query/_subanswer.py
+++ b/rhubarbhinge/query/_subanswer.py
@@ -3,7 +3,7 @@
 import orjson
 
 from rhubarbhinge.query._call import Call, Part
-from rhubarbhinge.utils.nesting import is_nested_below
+from rhubarbhinge.utils.nesting import is_nesting_within
 
 #: Lists and objects may be nested this deep in a hit; orjson reads 1,024 levels and writes 254.
 _MOST_DEPTH = 16
@@ -50,4 +50,4 @@
 
 def _is_shallow(body: bytes, hits: list[dict]) -> bool:
     flat = body.count(b"{") + body.count(b"[") <= len(hits) + 2
-    return flat or is_nested_below(hits, _MOST_DEPTH)
+    return flat or is_nesting_within(hits, _MOST_DEPTH)
--- a/rhubarbhinge/utils/nesting.py
+++ b/rhubarbhinge/utils/nesting.py
@@ -1,7 +1,7 @@
 """Nesting depth of parsed JSON."""
 
 
-def is_nested_below(value: object, max_depth: int) -> bool:
+def is_nesting_within(value: object, max_depth: int) -> bool:
     """Return whether the nesting of lists and objects is within a limit.
 
     :param value: parsed JSON.
@@ -11,4 +11,4 @@
     if not isinstance(value, dict | list):
         return True
     children = value.values() if isinstance(value, dict) else value
-    return max_depth > 0 and all(is_nested_below(child, max_depth - 1) for child in children)
+    return max_depth > 0 and all(is_nesting_within(child, max_depth - 1) for child in children)
