--- a/rhubarbhinge/forward/tests/test_service_call.py
+++ b/rhubarbhinge/forward/tests/test_service_call.py
@@ -81,7 +81,7 @@
         """Guards against sends in vain by an entry that was held up past the deadline."""
         world = FakeWorld(slack=5.0)
         self.start(world, deadline_ms=world.timers.now_ms() + 40.0)
-        world.timers.stand_still(50.0)
+        world.timers.stall(50.0)
         world.timers.advance(1.0)
         self.assertEqual(1, len(world.attempts))
 
@@ -91,7 +91,7 @@
         self.start(world, deadline_ms=world.timers.now_ms() + 40.0, hedge_ms=None)
         for _ in range(2):
             world.attempts[-1].end(NotRun(Why.NO_ROOM))
-        world.timers.stand_still(50.0)
+        world.timers.stall(50.0)
         world.timers.advance(1.0)
         self.assertEqual(2, len(world.attempts))
         self.assertEqual([Refused(Why.NO_ROOM)], self.results)
--- a/rhubarbhinge/utils/fake_timers.py
+++ b/rhubarbhinge/utils/fake_timers.py
@@ -37,7 +37,7 @@
         heapq.heappush(self._heap, entry)
         return subscription
 
-    def stand_still(self, duration_ms: float) -> None:
+    def stall(self, duration_ms: float) -> None:
         """Advance the clock without running timers, like a process that is stalled.
 
         :param duration_ms: time in milliseconds.
