--- a/rhubarbhinge/delegation/_messages.py
+++ b/rhubarbhinge/delegation/_messages.py
@@ -6,7 +6,7 @@
 from rhubarbhinge.gather import EndedSearcher
 from rhubarbhinge.net import FrameError
 from rhubarbhinge.utils.bounded_types import Count, FieldValue, Milliseconds, Rank
-from rhubarbhinge.utils.strict_json import json_reader
+from rhubarbhinge.utils.strict_json import json_decoder
 
 ASK, TAKEN, ANSWER, CANCEL, LEAVE_WANTED, LEAVE = range(6)
 """Kinds of messages on the wire; short, as each byte between failure domains is paid for."""
@@ -170,7 +170,7 @@
 
 
 _Sent = _SentAsk | _SentAnswer | _SentTaken | _SentCancel | _SentLeaveWanted | _SentLeave
-_read_head = json_reader(_Sent)
+_read_head = json_decoder(_Sent)
 
 
 def encode_message(message: Message) -> bytes:
--- a/rhubarbhinge/members/_heartbeat.py
+++ b/rhubarbhinge/members/_heartbeat.py
@@ -11,7 +11,7 @@
 from rhubarbhinge.quarantine import ToldSuspicion
 from rhubarbhinge.utils.bounded_types import AgeMs, Count, Milliseconds, Name
 from rhubarbhinge.utils.revision import Revision
-from rhubarbhinge.utils.strict_json import json_reader
+from rhubarbhinge.utils.strict_json import json_decoder
 
 VERSION = 2
 """Version of the format; entries of another one are not understood and not counted."""
@@ -100,7 +100,7 @@
     plan_version: Count = 0
 
 
-_read = json_reader(_Sent)
+_read = json_decoder(_Sent)
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
--- a/rhubarbhinge/members/_members_codec.py
+++ b/rhubarbhinge/members/_members_codec.py
@@ -7,7 +7,7 @@
 
 from rhubarbhinge.members._member import Member, MemberState
 from rhubarbhinge.utils.bounded_types import Count, Ipv4, Name
-from rhubarbhinge.utils.strict_json import json_reader
+from rhubarbhinge.utils.strict_json import json_decoder
 
 MOST_MEMBERS = 20_000
 """Most entries in a list; two and a half times the largest fleet that is planned for."""
@@ -61,7 +61,7 @@
         )
 
 
-_read_claims = json_reader(Annotated[list[Claim], msgspec.Meta(max_length=MOST_MEMBERS)])
+_read_claims = json_decoder(Annotated[list[Claim], msgspec.Meta(max_length=MOST_MEMBERS)])
 
 
 def encode_members(members: Iterable[Member]) -> bytes:
--- a/rhubarbhinge/peers/_state_codec.py
+++ b/rhubarbhinge/peers/_state_codec.py
@@ -18,7 +18,7 @@
 from rhubarbhinge.published import Changes, Evacuation, Snapshot
 from rhubarbhinge.utils.bounded_types import AgeMs, Count, Milliseconds, Name
 from rhubarbhinge.utils.revision import Revision
-from rhubarbhinge.utils.strict_json import convert, json_reader
+from rhubarbhinge.utils.strict_json import convert, json_decoder
 
 
 class StateError(ValueError):
@@ -74,7 +74,7 @@
     era: Count = 0
 
 
-_read = json_reader(_SentState)
+_read = json_decoder(_SentState)
 
 
 def encode_state(
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -31,7 +31,7 @@
     REST_FACTOR,
     SUSPECT_KEPT_MS,
 )
-from rhubarbhinge.utils.strict_json import json_reader
+from rhubarbhinge.utils.strict_json import json_decoder
 
 FATAL, GOOD = "f" * 32, "c" * 32
 ROUTE = "search"
@@ -267,7 +267,7 @@
             self.first.verdict(FATAL, ROUTE)
             self.run_at(self.first, FATAL, 1_000 + number, trial=True)
             told = [ToldSuspicion.of(one, self.fleet.now_ms) for one in self.first.told()]
-            read = json_reader(list[ToldSuspicion])
+            read = json_decoder(list[ToldSuspicion])
             self.assertEqual(read(msgspec.json.encode(told)), told)
 
     def test_accounts_do_not_grow_younger_on_their_way(self):
@@ -310,7 +310,7 @@
     @settings(deadline=None, derandomize=True, database=None)
     @given(st.binary(max_size=200))
     def test_any_bytes_are_read_or_refused(self, data):
-        read = json_reader(list[ToldSuspicion])
+        read = json_decoder(list[ToldSuspicion])
         try:
             read(data)
         except ValueError:
--- a/rhubarbhinge/utils/strict_json.py
+++ b/rhubarbhinge/utils/strict_json.py
@@ -6,7 +6,7 @@
 import msgspec
 
 
-def json_reader(value_type: Any) -> Callable[[bytes], Any]:
+def json_decoder(value_type: Any) -> Callable[[bytes], Any]:
     """Create a JSON decoder that only accepts values of one type.
 
     Unknown fields are ignored, since later releases may add some.
