--- a/rhubarbhinge/peers/_state_service.py
+++ b/rhubarbhinge/peers/_state_service.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.peers._state_codec import encode_state
 from rhubarbhinge.published import Changes, Follower, Snapshot
 from rhubarbhinge.timing import TimerService
-from rhubarbhinge.utils.whole_number import whole_number
+from rhubarbhinge.utils.whole_number import parse_whole_number
 from rhubarbhinge.web import Request, Responder, Response, error_response
 
 MOST_DIGITS = 18
@@ -142,5 +142,5 @@
 
 def _number(text: str) -> int:
     """Read a number of a query, -1 for none."""
-    number = whole_number(text, MOST_DIGITS)
+    number = parse_whole_number(text, MOST_DIGITS)
     return -1 if number is None else number
--- a/rhubarbhinge/utils/whole_number.py
+++ b/rhubarbhinge/utils/whole_number.py
@@ -1,7 +1,7 @@
 """Parsing of whole numbers in external data."""
 
 
-def whole_number(text: str, max_digits: int) -> int | None:
+def parse_whole_number(text: str, max_digits: int) -> int | None:
     """Parse a number of decimal digits.
 
     ``str.isdigit`` alone also accepts superscripts, for which ``int`` raises an error, as it does
