--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -17,7 +17,7 @@
 from rhubarbhinge.net import Links
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.testing import run_until, stop_tree
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 ASK = Ask(0, "r1", b"GET /x HTTP/1.1\r\n", b"", "route", ("s0", "s1"), 2, 1, 2, 5e4, 4e4, 5e4)
 OTHER = Member("vm-2", "127.0.0.1", "hall-b", 2)
@@ -58,7 +58,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(0), -1.0),
+            lambda: Published(make_revision(0), -1.0),
         )
         self.membership.on_members([OTHER])
         reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
--- a/rhubarbhinge/gateway/tests/test_cold_shares.py
+++ b/rhubarbhinge/gateway/tests/test_cold_shares.py
@@ -12,7 +12,7 @@
 from rhubarbhinge.members import Member, Membership, Published
 from rhubarbhinge.members.tests.simulated import even_domains
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 COLD = Searcher("i-1", "shard", "10.0.0.1", 80, "hall-a", 2, warmup_ms=3_000.0)
 WARM = Searcher("i-2", "shard", "10.0.0.2", 80, "hall-b", 2)
@@ -42,7 +42,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(1), 0.0),
+            lambda: Published(make_revision(1), 0.0),
         )
         for number, other in ((2, "hall-a"), (3, "hall-a"), (4, "hall-b")):
             membership._take(Member(f"vm-{number}", f"10.0.0.{number}", other, number))
--- a/rhubarbhinge/members/tests/simulated.py
+++ b/rhubarbhinge/members/tests/simulated.py
@@ -14,7 +14,7 @@
     encode_heartbeat,
 )
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 DELAY_MS = (1.0, 3.0)
 UDP_BYTES = 28
@@ -40,7 +40,7 @@
         rng = random.Random(fleet.rng.getrandbits(64))
         me = Member(name, ip, domain, fleet.rng.getrandbits(32))
         self.membership = Membership(
-            self, me, seeds, rng, self._send, lambda: Published(at(1), 0.0)
+            self, me, seeds, rng, self._send, lambda: Published(make_revision(1), 0.0)
         )
         self.sync = TableSync(self.now_ms, self._fetch)
 
--- a/rhubarbhinge/members/tests/test_codec.py
+++ b/rhubarbhinge/members/tests/test_codec.py
@@ -19,7 +19,7 @@
     encode_heartbeat,
     encode_members,
 )
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.utils.testing_values import FUZZ, JSON_VALUES, mutated
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None)
@@ -27,13 +27,13 @@
 REVISION, UPDATES, ERA = 6, 10, 12
 """Places of fields in a heartbeat as it is sent."""
 BEAT = Heartbeat(
-    "vm-2", "hall-a", 9, 3, False, True, at(40), 12.0, 99, {"hall-b": 900.0}, (MEMBER,)
+    "vm-2", "hall-a", 9, 3, False, True, make_revision(40), 12.0, 99, {"hall-b": 900.0}, (MEMBER,)
 )
 
 
 class HeartbeatTest(unittest.TestCase):
     def test_a_heartbeat_reads_back(self):
-        later = replace(BEAT, revision=at(40, 3), plan_version=24)
+        later = replace(BEAT, revision=make_revision(40, 3), plan_version=24)
         for beat in (BEAT, later, replace(BEAT, leaving=True, asks=False, age_ms=-1.0, updates=())):
             self.assertEqual(decode_heartbeat(encode_heartbeat(beat)), beat)
 
@@ -77,11 +77,11 @@
             decode_heartbeat(data.replace(b"[2,", b"[1,", 1))
 
     def test_a_release_before_eras_tells_none_and_passes_over_them(self):
-        later = replace(BEAT, revision=at(40, 3), plan_version=24)
+        later = replace(BEAT, revision=make_revision(40, 3), plan_version=24)
         sent = orjson.loads(encode_heartbeat(later))
         self.assertEqual(sent[REVISION], 40)
         before = decode_heartbeat(orjson.dumps(sent[:ERA]))
-        self.assertEqual((before.revision, before.plan_version), (at(40), 0))
+        self.assertEqual((before.revision, before.plan_version), (make_revision(40), 0))
 
     def test_a_later_release_may_append_fields(self):
         data = encode_heartbeat(BEAT)[:-1] + b',"more"]'
--- a/rhubarbhinge/members/tests/test_membership.py
+++ b/rhubarbhinge/members/tests/test_membership.py
@@ -6,7 +6,7 @@
 from rhubarbhinge.members import Member, Membership, MemberState, Published, encode_heartbeat
 from rhubarbhinge.members.tests.simulated import UDP_BYTES, Fleet, Node, even_domains
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 JOINED_MS = 1_000.0
 """An entry that joins is counted everywhere within this time."""
@@ -272,7 +272,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: sent.append(len(encode_heartbeat(heartbeat)) + UDP_BYTES),
-            lambda: Published(at(1), 0.0),
+            lambda: Published(make_revision(1), 0.0),
         )
         for domain, names in domains.items():
             for number, other in enumerate(names):
--- a/rhubarbhinge/peers/tests/telling.py
+++ b/rhubarbhinge/peers/tests/telling.py
@@ -11,7 +11,7 @@
 from rhubarbhinge.plans import CallerLimits, Route, Service, ServingPlan, ShardSet
 from rhubarbhinge.published import Changes, Follower, ReadFault, Snapshot
 from rhubarbhinge.timing import TimerService
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.web import HttpClient, HttpServer
 
 SHARDS, LATER_SHARDS, REPLICAS = 90, 135, 3
@@ -181,4 +181,4 @@
         for number, shard in enumerate(shards)
         for place in range(REPLICAS)
     )
-    return Snapshot(at(100), ServingPlan(7, routes, services, CallerLimits()), searchers)
+    return Snapshot(make_revision(100), ServingPlan(7, routes, services, CallerLimits()), searchers)
--- a/rhubarbhinge/peers/tests/test_pulling.py
+++ b/rhubarbhinge/peers/tests/test_pulling.py
@@ -19,11 +19,11 @@
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.revision import Revision
 from rhubarbhinge.utils.testing import run_until, stop_tree
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.web import Reply
 from standins.fleet import free_ports
 
-BEAT = Heartbeat("vm-2", "hall-b", 7, 0, False, False, at(51), 12.0, 0)
+BEAT = Heartbeat("vm-2", "hall-b", 7, 0, False, False, make_revision(51), 12.0, 0)
 MEMBER = Member("vm-7", "127.0.0.7", "hall-b", 3)
 
 
@@ -31,7 +31,7 @@
     """Knows revision 50, and takes what is offered."""
 
     def __init__(self):
-        self.revision = at(50)
+        self.revision = make_revision(50)
         self.plan = None
         self.needs_peers = False
         self.wants_all = False
@@ -65,7 +65,7 @@
             on_done(Reply(200, {}, encode_members([MEMBER])))
             return
         self.asked.append(ip)
-        on_done(Reply(200, {}, encode_state(Snapshot(at(51), None, (), 5.0), "log", 1)))
+        on_done(Reply(200, {}, encode_state(Snapshot(make_revision(51), None, (), 5.0), "log", 1)))
 
 
 class PullingTest(unittest.TestCase):
@@ -113,13 +113,13 @@
     def test_an_entry_whose_watch_is_silent_takes_what_a_peer_knows(self):
         self.hear()
         self.assertEqual(self.client.asked, [])
-        self.assertTrue(run_until(self.root, lambda: self.follower.revision == at(51)))
+        self.assertTrue(run_until(self.root, lambda: self.follower.revision == make_revision(51)))
         self.assertEqual(self.client.asked, ["127.0.0.2"])
 
     def test_one_that_is_told_meanwhile_asks_nobody(self):
         self.hear()
-        self.follower.revision = at(51)
-        self.hear(revision=at(51))
+        self.follower.revision = make_revision(51)
+        self.hear(revision=make_revision(51))
         run_until(self.root, lambda: False, 1.0)
         self.assertEqual(self.client.asked, [])
 
@@ -130,30 +130,30 @@
 
     def test_a_peer_of_a_later_era_is_further_though_its_number_is_lower(self):
         self.follower.needs_peers = True
-        self.hear(revision=at(60), plan_version=0, age_ms=-1.0)
-        self.hear(revision=at(9, 1))
+        self.hear(revision=make_revision(60), plan_version=0, age_ms=-1.0)
+        self.hear(revision=make_revision(9, 1))
         self.assertEqual(self.client.asked, ["127.0.0.2"])
 
     def test_a_peer_with_a_newer_configuration_alone_is_asked_for_it(self):
         self.follower.needs_peers = True
-        self.hear(revision=at(50))
+        self.hear(revision=make_revision(50))
         self.assertEqual(self.client.asked, [])
-        self.hear(revision=at(49), plan_version=3)
+        self.hear(revision=make_revision(49), plan_version=3)
         self.assertEqual(self.client.asked, ["127.0.0.2"])
 
     def test_one_that_wants_all_once_more_asks_a_peer_that_is_just_as_far(self):
         self.follower.needs_peers = True
-        self.hear(revision=at(50))
+        self.hear(revision=make_revision(50))
         self.assertEqual(self.client.asked, [])
         self.follower.wants_all = True
-        self.hear(revision=at(50), age_ms=-1.0)
+        self.hear(revision=make_revision(50), age_ms=-1.0)
         self.assertEqual(self.client.asked, [])
-        self.hear(revision=at(50))
+        self.hear(revision=make_revision(50))
         self.assertEqual(self.client.asked, ["127.0.0.2"])
 
     def test_a_peer_whose_state_nobody_has_confirmed_is_not_asked(self):
         self.follower.needs_peers = True
-        self.hear(revision=at(60), age_ms=-1.0)
+        self.hear(revision=make_revision(60), age_ms=-1.0)
         self.assertEqual(self.client.asked, [])
 
     def test_a_peer_of_the_same_domain_is_asked_first(self):
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.peers import KnownState, Report, Reports, SharedSource, encode_state
 from rhubarbhinge.published import Changes, ReadFault, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.web import Failure, Reply
 
 READER = Member("vm-1", "10.0.0.1", "hall-a", 7)
@@ -19,11 +19,11 @@
     def __init__(self):
         self.waits: list[int] = []
         self.reads_old: list[bool] = []
-        self.outcome: Changes | ReadFault = Changes(at(50))
+        self.outcome: Changes | ReadFault = Changes(make_revision(50))
 
     def read_all(self, on_done, may_be_old=False) -> None:
         self.reads_old.append(may_be_old)
-        on_done(Snapshot(at(40), None, ()))
+        on_done(Snapshot(make_revision(40), None, ()))
 
     def wait_for_changes(self, after_revision, on_done) -> None:
         self.waits.append(after_revision.number)
@@ -52,7 +52,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(40), 0.0),
+            lambda: Published(make_revision(40), 0.0),
         )
         self.reports = Reports()
         self.source = SharedSource(self.timers, self.client, self.store, "vm-2", "hall-a", 7380)
@@ -62,10 +62,10 @@
     def hear(self, age_ms: float = 12.0, **changes: object) -> None:
         member = replace(READER, **changes)
         self.membership.on_members([member])
-        self.reports.add(Report(member, at(40), age_ms, self.timers.now_ms()))
+        self.reports.add(Report(member, make_revision(40), age_ms, self.timers.now_ms()))
 
     def wait(self, after: int = 40) -> None:
-        self.source.wait_for_changes(at(after), self.told.append)
+        self.source.wait_for_changes(make_revision(after), self.told.append)
 
     def tells(self, state: Snapshot | Changes, position: int = 3) -> None:
         self.client.outcome = Reply(200, {}, encode_state(state, "log", position))
@@ -79,9 +79,9 @@
 
     def test_the_least_name_of_the_domain_reads_for_the_others(self):
         self.hear()
-        self.tells(Snapshot(at(41), None, (), 5.0))
+        self.tells(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
-        self.tells(Changes(at(42), None, (), ("i-1",), 6.0, by_peer=True), 4)
+        self.tells(Changes(make_revision(42), None, (), ("i-1",), 6.0, by_peer=True), 4)
         self.wait(41)
         path = "10.0.0.1/v1/published-changes"
         self.assertEqual(self.client.paths, [path, path + "?log=log&after=3"])
@@ -113,7 +113,7 @@
         self.wait()
         self.assertEqual(self.client.paths, [])
         self.timers.advance(3_000.0)
-        self.tells(Snapshot(at(41), None, (), 5.0))
+        self.tells(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         self.assertEqual(self.client.paths, ["10.0.0.1/v1/published-changes"])
 
@@ -129,52 +129,52 @@
 
     def test_a_reader_that_is_behind_is_not_followed(self):
         self.hear()
-        self.tells(Snapshot(at(39), None, (), 5.0))
+        self.tells(Snapshot(make_revision(39), None, (), 5.0))
         self.wait()
-        self.assertEqual(self.told, [Changes(at(50))])
+        self.assertEqual(self.told, [Changes(make_revision(50))])
 
     def test_a_reader_of_the_former_era_is_behind_whatever_its_number(self):
         self.hear()
-        self.tells(Snapshot(at(90, 1), None, (), 5.0))
-        self.source.wait_for_changes(at(40, 2), self.told.append)
-        self.assertEqual(self.told, [Changes(at(50))])
+        self.tells(Snapshot(make_revision(90, 1), None, (), 5.0))
+        self.source.wait_for_changes(make_revision(40, 2), self.told.append)
+        self.assertEqual(self.told, [Changes(make_revision(50))])
 
     def test_a_reader_of_a_later_era_is_followed_though_its_number_is_lower(self):
         self.hear()
-        self.tells(Snapshot(at(9, 2), None, (), 5.0))
-        self.source.wait_for_changes(at(40, 1), self.told.append)
-        self.assertEqual([one.revision for one in self.told], [at(9, 2)])
+        self.tells(Snapshot(make_revision(9, 2), None, (), 5.0))
+        self.source.wait_for_changes(make_revision(40, 1), self.told.append)
+        self.assertEqual([one.revision for one in self.told], [make_revision(9, 2)])
 
     def test_a_place_in_the_log_holds_for_the_era_that_it_is_of(self):
         self.hear()
-        self.tells(Snapshot(at(41, 1), None, (), 5.0))
-        self.source.wait_for_changes(at(40, 1), self.told.append)
+        self.tells(Snapshot(make_revision(41, 1), None, (), 5.0))
+        self.source.wait_for_changes(make_revision(40, 1), self.told.append)
         # Meanwhile another entry has told of the next era.
-        self.tells(Snapshot(at(42, 2), None, (), 5.0))
-        self.source.wait_for_changes(at(30, 2), self.told.append)
+        self.tells(Snapshot(make_revision(42, 2), None, (), 5.0))
+        self.source.wait_for_changes(make_revision(30, 2), self.told.append)
         self.assertNotIn("after=", self.client.paths[-1])
 
     def test_what_a_reader_told_of_a_wait_from_before_is_not_used(self):
-        known = [KnownState(revision=at(40, 1))]
+        known = [KnownState(revision=make_revision(40, 1))]
         self.source.know(self.membership, self.reports, lambda: known[-1])
         self.hear()
         paths = self.client.paths
-        self.client.on_call = lambda: known.append(KnownState(revision=at(30, 2)))
-        self.tells(Changes(at(31, 2), None, (), ("i-1",), 6.0, by_peer=True))
-        self.source.wait_for_changes(at(40, 1), self.told.append)
+        self.client.on_call = lambda: known.append(KnownState(revision=make_revision(30, 2)))
+        self.tells(Changes(make_revision(31, 2), None, (), ("i-1",), 6.0, by_peer=True))
+        self.source.wait_for_changes(make_revision(40, 1), self.told.append)
         self.assertEqual((len(paths), "after=" in paths[-1], len(self.told)), (2, False, 1))
 
     def test_a_first_list_that_may_be_old_leaves_no_reader_behind(self):
         self.source.read_all(lambda outcome: None)
         self.hear()
-        self.tells(Snapshot(at(9, 2), None, (), 5.0))
+        self.tells(Snapshot(make_revision(9, 2), None, (), 5.0))
         self.timers.advance(500.0)
-        self.source.wait_for_changes(at(56, 2), self.told.append)
-        self.assertEqual([one.revision for one in self.told], [at(9, 2)])
+        self.source.wait_for_changes(make_revision(56, 2), self.told.append)
+        self.assertEqual([one.revision for one in self.told], [make_revision(9, 2)])
 
     def test_one_that_wants_all_is_told_all_by_its_reader_and_then_changes(self):
         self.hear()
-        self.tells(Snapshot(at(41), None, (), 5.0))
+        self.tells(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         for after in (False, True):
             if not after:
@@ -196,13 +196,13 @@
 
     def test_after_the_platform_was_asked_the_place_in_the_log_is_forgotten(self):
         self.hear()
-        self.tells(Snapshot(at(41), None, (), 5.0))
+        self.tells(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         self.client.outcome = Failure("reset", True)
         self.wait()
         self.timers.advance(3_001.0)
         self.hear()
-        self.tells(Snapshot(at(60), None, (), 5.0))
+        self.tells(Snapshot(make_revision(60), None, (), 5.0))
         self.wait()
         self.assertNotIn("after=", self.client.paths[-1])
 
@@ -211,7 +211,7 @@
         self.hear(name="vm-9")
         self.wait()
         self.assertFalse(self.source.reads_platform)
-        self.tells(Snapshot(at(41), None, (), 5.0))
+        self.tells(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         self.assertEqual(len(self.client.paths), 1)
 
@@ -237,11 +237,11 @@
         self.start()
         self.wait()
         self.timers.advance(120.0)
-        self.tells(Snapshot(at(41), None, (), 5.0))
+        self.tells(Snapshot(make_revision(41), None, (), 5.0))
         self.hear()
         self.timers.advance(60.0)
         self.assertEqual((self.store.waits, len(self.client.paths)), ([], 1))
-        self.assertEqual(self.told[0].revision, at(41))
+        self.assertEqual(self.told[0].revision, make_revision(41))
 
     def test_the_least_name_reads_as_soon_as_it_knows_the_others(self):
         self.start()
@@ -268,7 +268,7 @@
     def test_the_others_ask_the_least_name_though_nobody_is_settled(self):
         self.start()
         self.hear_of("vm-0", "vm-1", "vm-3")
-        self.tells(Snapshot(at(41), None, (), 5.0))
+        self.tells(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         self.timers.advance(300.0)
         self.assertEqual((self.store.waits, self.client.paths), ([], []))
@@ -283,9 +283,11 @@
         self.wait()
         self.timers.advance(1_500.0)
         self.assertGreater(len(self.client.paths), 2)
-        self.tells(Snapshot(at(41), None, (), 5.0))
+        self.tells(Snapshot(make_revision(41), None, (), 5.0))
         self.timers.advance(300.0)
-        self.assertEqual((self.store.waits, [one.revision for one in self.told]), ([], [at(41)]))
+        self.assertEqual(
+            (self.store.waits, [one.revision for one in self.told]), ([], [make_revision(41)])
+        )
 
     def test_one_that_finds_no_reader_asks_the_platform_in_the_end(self):
         self.start()
@@ -306,6 +308,6 @@
         self.assertTrue(self.source.reads_platform)
         self.timers.advance(200.0)
         self.assertFalse(self.source.reads_platform)
-        self.store.outcome = Changes(at(60))
+        self.store.outcome = Changes(make_revision(60))
         self.wait()
         self.assertTrue(self.source.reads_platform)
--- a/rhubarbhinge/peers/tests/test_state_codec.py
+++ b/rhubarbhinge/peers/tests/test_state_codec.py
@@ -22,7 +22,7 @@
 )
 from rhubarbhinge.published import Changes, Evacuation, Follower, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.utils.testing_values import FUZZ, JSON_VALUES, mutated
 
 ROUTES = (
@@ -32,9 +32,12 @@
 PLAN = ServingPlan(7, ROUTES, {"s": Service("s", "/health", 26)}, CallerLimits())
 SEARCHER = Searcher("i-1", "s", "10.0.0.9", 80, "hall-a", 2, False, 700.0, 1_764_720_000_000)
 STATES = (
-    encode_state(Snapshot(at(12), PLAN, (SEARCHER,), 5.0, {"i-1": 700.0}), "log", 4),
+    encode_state(Snapshot(make_revision(12), PLAN, (SEARCHER,), 5.0, {"i-1": 700.0}), "log", 4),
     encode_state(
-        Changes(at(13), replace(PLAN, version=9), (SEARCHER,), ("i-2",), 7.0), "log", 4, PLAN
+        Changes(make_revision(13), replace(PLAN, version=9), (SEARCHER,), ("i-2",), 7.0),
+        "log",
+        4,
+        PLAN,
     ),
 )
 
@@ -48,15 +51,15 @@
         plan = ServingPlan(7, routes, {"s": Service("s", "/health", 26)}, CallerLimits())
         searcher = Searcher("i-1", "s", "10.0.0.9", 80, "hall-a", 2)
         for state in (
-            Snapshot(at(12), plan, (searcher,), 5.0),
-            Snapshot(at(12), plan, (searcher,), 5.0, {searcher.incarnation: 700.0}),
-            Snapshot(at(0), None, (), -1.0),
-            Changes(at(13), None, (searcher,), ("i-2",), 7.0, by_peer=True),
-            Changes(at(13), None, (), (), 7.0, True, {searcher.incarnation: 700.0}),
-            Snapshot(at(12), plan, (searcher,), 5.0, evacuated=("hall-b", "hall-c")),
-            Changes(at(13), by_peer=True, evacuations=(Evacuation("hall-b", False),)),
-            Snapshot(at(9, 2), plan, (), 5.0),
-            Changes(at(9, 2), by_peer=True),
+            Snapshot(make_revision(12), plan, (searcher,), 5.0),
+            Snapshot(make_revision(12), plan, (searcher,), 5.0, {searcher.incarnation: 700.0}),
+            Snapshot(make_revision(0), None, (), -1.0),
+            Changes(make_revision(13), None, (searcher,), ("i-2",), 7.0, by_peer=True),
+            Changes(make_revision(13), None, (), (), 7.0, True, {searcher.incarnation: 700.0}),
+            Snapshot(make_revision(12), plan, (searcher,), 5.0, evacuated=("hall-b", "hall-c")),
+            Changes(make_revision(13), by_peer=True, evacuations=(Evacuation("hall-b", False),)),
+            Snapshot(make_revision(9, 2), plan, (), 5.0),
+            Changes(make_revision(9, 2), by_peer=True),
         ):
             told = decode_state(encode_state(state, "log", 4))
             self.assertEqual(told, ToldState(state, "log", 4))
@@ -71,7 +74,7 @@
         searchers = tuple(Searcher(f"i-{n}", "s", "10.0.0.9", 80, "hall-a", 2) for n in range(9))
         known = KnownState(base, searchers, "digest")
         for plan in (base, later):
-            state = Snapshot(at(12), plan, searchers, 5.0, {"i-3": 700.0})
+            state = Snapshot(make_revision(12), plan, searchers, 5.0, {"i-3": 700.0})
             whole, short = (
                 encode_state(state, "log", 4, base_plan, same)
                 for base_plan, same in ((None, False), (base, True))
@@ -82,20 +85,20 @@
 
     def test_a_release_before_evacuations_tells_nothing_of_them(self):
         sent = orjson.loads(
-            encode_state(Snapshot(at(12), PLAN, (), evacuated=("hall-b",)), "log", 4)
+            encode_state(Snapshot(make_revision(12), PLAN, (), evacuated=("hall-b",)), "log", 4)
         )
         del sent["evacuated"], sent["evacuations"]
         self.assertIsNone(decode_state(orjson.dumps(sent)).state.evacuated)
 
     def test_a_release_before_eras_tells_none_and_passes_over_them(self):
-        sent = orjson.loads(encode_state(Snapshot(at(12, 3), PLAN, ()), "log", 4))
+        sent = orjson.loads(encode_state(Snapshot(make_revision(12, 3), PLAN, ()), "log", 4))
         self.assertEqual(sent["revision"], 12)
         del sent["era"]
-        self.assertEqual(decode_state(orjson.dumps(sent)).state.revision, at(12))
+        self.assertEqual(decode_state(orjson.dumps(sent)).state.revision, make_revision(12))
 
     def test_what_refers_to_a_configuration_that_the_receiver_lacks_is_a_coded_error(self):
         base = ServingPlan(7, (), {}, CallerLimits())
-        data = encode_state(Changes(at(13), replace(base, version=9)), "log", 4, base)
+        data = encode_state(Changes(make_revision(13), replace(base, version=9)), "log", 4, base)
         for plan in (None, replace(base, version=8)):
             with self.assertRaises(StateError):
                 decode_state(data, KnownState(plan))
@@ -125,7 +128,7 @@
         timers = FakeTimers()
         fleet = Fleet(timers.now_ms, lambda observed: None)
         follower = Follower(timers, _NoSource(), fleet, random.Random(1), _use)
-        follower.offer(Snapshot(at(5), PLAN, (SEARCHER,)))
+        follower.offer(Snapshot(make_revision(5), PLAN, (SEARCHER,)))
         if isinstance(told.state, Snapshot):
             follower.offer(told.state)
         else:
--- a/rhubarbhinge/peers/tests/test_state_service.py
+++ b/rhubarbhinge/peers/tests/test_state_service.py
@@ -16,7 +16,7 @@
 from rhubarbhinge.plans import CallerLimits, ServingPlan
 from rhubarbhinge.published import Follower, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.utils.testing_values import FUZZ
 from rhubarbhinge.web import Request, Responder, Response
 
@@ -38,12 +38,14 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(0), -1.0),
+            lambda: Published(make_revision(0), -1.0),
         )
         self.service = StateService(self.timers, self.follower, membership, lambda: True)
         self.follower.start()
         plan = ServingPlan(7, (), {}, CallerLimits())
-        source.answer(Snapshot(at(5), plan, (Searcher("i-1", "s", "10.0.0.9", 80, "hall-a", 2),)))
+        source.answer(
+            Snapshot(make_revision(5), plan, (Searcher("i-1", "s", "10.0.0.9", 80, "hall-a", 2),))
+        )
 
     def ask(self, path: str, query: dict[str, str]) -> Response:
         answers: list[Response] = []
@@ -62,7 +64,7 @@
         answer = self.ask(path, query)
         self.assertEqual(answer.status, 404 if path == "/other" else 200)
         if path in (STATE_PATH, CHANGES_PATH):
-            self.assertEqual(decode_state(answer.body).state.revision, at(5))
+            self.assertEqual(decode_state(answer.body).state.revision, make_revision(5))
 
     def test_who_is_at_the_newest_place_waits_and_is_told_that_nothing_changed(self):
         log = self.follower.log
--- a/rhubarbhinge/peers/tests/test_telling.py
+++ b/rhubarbhinge/peers/tests/test_telling.py
@@ -17,7 +17,7 @@
 from rhubarbhinge.published import Changes
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.testing import run_until, stop_tree
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 FOLLOWERS = 11
 """Entries that follow the reader of a failure domain with twelve."""
@@ -66,8 +66,8 @@
         changed = replace(plan, version=8, routes=(route, *plan.routes[1:]))
         leaving = tuple(replace(one, draining=True) for one in searchers[:60])
         for what, changes in (
-            ("a configuration", Changes(at(101), changed)),
-            ("many searchers at once", Changes(at(102), None, leaving)),
+            ("a configuration", Changes(make_revision(101), changed)),
+            ("many searchers at once", Changes(make_revision(102), None, leaving)),
         ):
             with self.subTest(what):
                 self.assertLessEqual(self.told_bytes(changes), MOST_BYTES)
@@ -78,7 +78,7 @@
             reader = Reader(self.root, self.timers, seed=2 + changed)
             reader.tell(self.state)
             if changed:
-                reader.tell(Changes(at(101), replace(self.state.plan, version=8)))
+                reader.tell(Changes(make_revision(101), replace(self.state.plan, version=8)))
             for entry in self.entries:
                 entry.source._port = reader.port
             with self.subTest(changed=changed):
@@ -90,7 +90,7 @@
         came = replace(self.state.searchers[0], incarnation="i-new")
         gone = self.state.searchers[1].incarnation
         reader.tell(self.state)
-        reader.tell(Changes(at(101), None, (came,), (gone,)))
+        reader.tell(Changes(make_revision(101), None, (came,), (gone,)))
         for entry in self.entries:
             entry.source._port = reader.port
         self.wait_until_told(reader)
--- a/rhubarbhinge/published/tests/test_starts.py
+++ b/rhubarbhinge/published/tests/test_starts.py
@@ -17,7 +17,7 @@
 from rhubarbhinge.published import Changes, Follower, ReadFault, Snapshot, UnusableEntry
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.revision import NO_REVISION, Revision
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=400)
 IDS = ("i-0", "i-1", "i-2")
@@ -54,7 +54,9 @@
 
     def listed(self) -> Snapshot:
         good = tuple(one for one in self.held.values() if one is not None)
-        return Snapshot(at(self.revision), None, good, unusable=self._unusable(self.held))
+        return Snapshot(
+            make_revision(self.revision), None, good, unusable=self._unusable(self.held)
+        )
 
     def watched(self, after: int) -> Changes | ReadFault:
         if after < self.first:
@@ -63,7 +65,9 @@
         good = tuple(self.held[name] for name in sorted(names) if self.held.get(name) is not None)
         removed = tuple(sorted(names - self.held.keys()))
         here = sorted(names & self.held.keys())
-        return Changes(at(self.revision), None, good, removed, unusable=self._unusable(here))
+        return Changes(
+            make_revision(self.revision), None, good, removed, unusable=self._unusable(here)
+        )
 
     def _unusable(self, names) -> tuple[UnusableEntry, ...]:
         return tuple(
@@ -319,7 +323,7 @@
 
     def test_a_peer_of_an_earlier_release_that_leaves_the_time_out_changes_nothing(self):
         before = self.observed()
-        snapshot = Snapshot(at(50), None, (searcher("i-0", None, warmup_ms=7.0),))
+        snapshot = Snapshot(make_revision(50), None, (searcher("i-0", None, warmup_ms=7.0),))
         self.entry.follower.offer(snapshot)
         self.assertIs(self.observed(), before)
         self.assertEqual(before.searcher, searcher("i-0", 1_000, warmup_ms=7.0))
--- a/rhubarbhinge/utils/testing_revisions.py
+++ b/rhubarbhinge/utils/testing_revisions.py
@@ -3,7 +3,7 @@
 from rhubarbhinge.utils.revision import Revision
 
 
-def at(number: int, era: int = 0) -> Revision:
+def make_revision(number: int, era: int = 0) -> Revision:
     """Create a revision.
 
     :param number: its number.
