--- a/rhubarbhinge/delegation/tests/test_messages.py
+++ b/rhubarbhinge/delegation/tests/test_messages.py
@@ -20,7 +20,7 @@
 )
 from rhubarbhinge.delegation._messages import ANSWER, ASK, HEAD_LENGTH_BYTES, LEAVE_WANTED
 from rhubarbhinge.net import FrameError
-from rhubarbhinge.utils.testing_values import FUZZ, JSON_VALUES, mutated
+from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS, JSON_VALUES, mutated
 
 NAMES = st.lists(st.text("abcdef", min_size=1, max_size=8), max_size=5).map(tuple)
 
@@ -85,7 +85,7 @@
             with self.assertRaises(FrameError):
                 decode_message(encode_message(answer))
 
-    @FUZZ
+    @FUZZ_SETTINGS
     @given(
         JSON_VALUES
         | mutated([ASK, 7, "r1", 4, "route", ["s"], 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4])
--- a/rhubarbhinge/peers/tests/test_state_service.py
+++ b/rhubarbhinge/peers/tests/test_state_service.py
@@ -17,7 +17,7 @@
 from rhubarbhinge.published import Follower, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import make_revision
-from rhubarbhinge.utils.testing_values import FUZZ
+from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS
 from rhubarbhinge.web import Request, Responder, Response
 
 ODD_NUMBERS = st.sampled_from(
@@ -55,7 +55,7 @@
         (answer,) = answers
         return answer
 
-    @FUZZ
+    @FUZZ_SETTINGS
     @given(
         st.sampled_from([STATE_PATH, CHANGES_PATH, MEMBERS_PATH, "/other"]),
         st.dictionaries(st.sampled_from(PARAMETERS), ODD_NUMBERS | st.text(max_size=6)),
--- a/rhubarbhinge/utils/testing_values.py
+++ b/rhubarbhinge/utils/testing_values.py
@@ -6,7 +6,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-FUZZ = settings(derandomize=True, deadline=None, database=None, max_examples=300)
+FUZZ_SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=300)
 """Settings that draw the same examples in each run; 300 take under a second for a decoder."""
 
 JSON_VALUES = st.recursive(
