--- a/rhubarbhinge/delegation/tests/test_messages.py
+++ b/rhubarbhinge/delegation/tests/test_messages.py
@@ -20,7 +20,7 @@
 )
 from rhubarbhinge.delegation._messages import ANSWER, ASK, HEAD_LENGTH_BYTES, LEAVE_WANTED
 from rhubarbhinge.net import FrameError
-from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS, JSON_VALUES, mutated
+from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS, JSON_VALUES, mutated_json
 
 NAMES = st.lists(st.text("abcdef", min_size=1, max_size=8), max_size=5).map(tuple)
 
@@ -88,9 +88,9 @@
     @FUZZ_SETTINGS
     @given(
         JSON_VALUES
-        | mutated([ASK, 7, "r1", 4, "route", ["s"], 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4])
-        | mutated([ANSWER, 7, ["s"], ["sig"], ["u"], True, ["p"]])
-        | mutated([LEAVE_WANTED, 7, ["s"]]),
+        | mutated_json([ASK, 7, "r1", 4, "route", ["s"], 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4])
+        | mutated_json([ANSWER, 7, ["s"], ["sig"], ["u"], True, ["p"]])
+        | mutated_json([LEAVE_WANTED, 7, ["s"]]),
     )
     def test_a_message_with_a_fault_is_a_message_or_a_coded_error(self, value):
         try:
--- a/rhubarbhinge/members/tests/test_codec.py
+++ b/rhubarbhinge/members/tests/test_codec.py
@@ -20,7 +20,7 @@
     encode_members,
 )
 from rhubarbhinge.utils.testing_revisions import make_revision
-from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS, JSON_VALUES, mutated
+from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS, JSON_VALUES, mutated_json
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None)
 MEMBER = Member("vm-3", "10.0.0.3", "hall-b", 77, 4, MemberState.SUSPECT)
@@ -88,7 +88,7 @@
         self.assertEqual(decode_heartbeat(data), BEAT)
 
     @FUZZ_SETTINGS
-    @given(JSON_VALUES | mutated(orjson.loads(encode_heartbeat(BEAT))))
+    @given(JSON_VALUES | mutated_json(orjson.loads(encode_heartbeat(BEAT))))
     def test_a_heartbeat_with_a_fault_is_a_heartbeat_or_a_coded_error(self, value):
         try:
             beat = decode_heartbeat(msgspec.json.encode(value))
@@ -125,7 +125,7 @@
             self.assertEqual(error.code, "bad-members")
 
     @FUZZ_SETTINGS
-    @given(JSON_VALUES | mutated(orjson.loads(encode_members([MEMBER, MEMBER]))))
+    @given(JSON_VALUES | mutated_json(orjson.loads(encode_members([MEMBER, MEMBER]))))
     def test_a_list_with_a_fault_is_a_list_or_a_coded_error(self, value):
         try:
             members = decode_members(msgspec.json.encode(value))
--- a/rhubarbhinge/peers/tests/test_state_codec.py
+++ b/rhubarbhinge/peers/tests/test_state_codec.py
@@ -23,7 +23,7 @@
 from rhubarbhinge.published import Changes, Evacuation, Follower, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import make_revision
-from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS, JSON_VALUES, mutated
+from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS, JSON_VALUES, mutated_json
 
 ROUTES = (
     Route("r", "a", "/x/", True, 1e3, 95.0, 2, 2, (), ShardSet(("s", "t"), 5, 0.75)),
@@ -119,7 +119,9 @@
         self.assertEqual(decode_state(orjson.dumps(sent)).state.searchers[0], told)
 
     @FUZZ_SETTINGS
-    @given(JSON_VALUES | st.sampled_from(STATES).flatmap(lambda data: mutated(orjson.loads(data))))
+    @given(
+        JSON_VALUES | st.sampled_from(STATES).flatmap(lambda data: mutated_json(orjson.loads(data)))
+    )
     def test_a_state_with_a_fault_is_one_that_can_be_held_or_a_coded_error(self, value):
         try:
             told = decode_state(msgspec.json.encode(value), KnownState(PLAN, (SEARCHER,), "d"))
--- a/rhubarbhinge/utils/testing_values.py
+++ b/rhubarbhinge/utils/testing_values.py
@@ -44,7 +44,7 @@
 
 
 @st.composite
-def mutated(draw: st.DrawFn, good: Any) -> Any:
+def mutated_json(draw: st.DrawFn, good: Any) -> Any:
     """Draw a JSON value with one of its fields replaced or removed.
 
     :param draw: provided by hypothesis.
