--- a/rhubarbhinge/delegation/_messages.py
+++ b/rhubarbhinge/delegation/_messages.py
@@ -5,7 +5,7 @@
 
 from rhubarbhinge.gather import EndedSearcher
 from rhubarbhinge.net import FrameError
-from rhubarbhinge.utils.bounded_types import Count, FieldValue, Milliseconds, Rank
+from rhubarbhinge.utils.bounded_types import Count, FieldValue, Milliseconds, Priority
 from rhubarbhinge.utils.strict_json import json_decoder
 
 ASK, TAKEN, ANSWER, CANCEL, LEAVE_WANTED, LEAVE = range(6)
@@ -127,7 +127,7 @@
     route: str
     services: tuple[str, ...]
     top_k: Count
-    priority: Rank
+    priority: Priority
     max_attempts: Count
     target_latency_ms: Milliseconds
     answer_in_ms: Milliseconds
--- a/rhubarbhinge/plans/_route.py
+++ b/rhubarbhinge/plans/_route.py
@@ -4,7 +4,7 @@
 
 from rhubarbhinge.plans._shard_set import ShardSet
 from rhubarbhinge.plans._weighted_service import WeightedService
-from rhubarbhinge.utils.bounded_types import Count, Milliseconds, Name, Rank
+from rhubarbhinge.utils.bounded_types import Count, Milliseconds, Name, Priority
 
 
 class Route(Struct, frozen=True):
@@ -29,7 +29,7 @@
     idempotent: bool
     timeout_ms: Milliseconds
     target_latency_ms: Milliseconds
-    priority: Rank
+    priority: Priority
     max_attempts: Count
     services: tuple[WeightedService, ...] = ()
     shards: ShardSet | None = None
--- a/rhubarbhinge/utils/bounded_types.py
+++ b/rhubarbhinge/utils/bounded_types.py
@@ -28,7 +28,7 @@
 ]
 """A header value (RFC 9110, section 5.5) without line breaks."""
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
-Rank = Annotated[int, Meta(ge=-MAX_COUNT, le=MAX_COUNT)]
+Priority = Annotated[int, Meta(ge=-MAX_COUNT, le=MAX_COUNT)]
 Capacity = Annotated[int, Meta(ge=1, le=MAX_CAPACITY)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
 Ipv4 = Annotated[str, Meta(pattern=rf"\A(?:{_OCTET}\.){{3}}{_OCTET}\Z")]
