--- a/rhubarbhinge/telemetry/_metrics.py
+++ b/rhubarbhinge/telemetry/_metrics.py
@@ -48,7 +48,7 @@
         self._drains = 0
         self._slots: dict[str, tuple[int, int]] = {}
         self._queues: dict[str, int] = {}
-        self._figures: dict[ScalarMetric, float] = {}
+        self._scalars: dict[ScalarMetric, float] = {}
         self._loop_lag = LogHistogram()
 
     def observe_latency(self, tenant: str, class_name: str, latency_ms: float) -> None:
@@ -146,13 +146,13 @@
         """
         self._queues[class_name] = length
 
-    def set_scalar(self, figure: ScalarMetric, value: float) -> None:
+    def set_scalar(self, metric: ScalarMetric, value: float) -> None:
         """Set the value of a metric.
 
-        :param figure: the metric.
+        :param metric: the metric.
         :param value: the value.
         """
-        self._figures[figure] = value
+        self._scalars[metric] = value
 
     def observe_loop_lag(self, late_ms: float) -> None:
         """Record the delay of a periodic timer.
@@ -243,9 +243,9 @@
             "Outcomes of runs that must not repeat",
             _rows("outcome", self._runs),
         )
-        for figure, value in self._figures.items():
-            if figure.is_counter:
-                exposition.counter(PREFIX + figure.name, figure.help, [({}, value)])
+        for metric, value in self._scalars.items():
+            if metric.is_counter:
+                exposition.counter(PREFIX + metric.name, metric.help, [({}, value)])
 
     def _add_gauges(self, exposition: "Exposition") -> None:
         revisions = {key: revision for key, (revision, _) in self._config.items()}
@@ -263,9 +263,9 @@
         exposition.gauge(
             PREFIX + "queue_length", "Requests that wait", _rows("class", self._queues)
         )
-        for figure, value in self._figures.items():
-            if not figure.is_counter:
-                exposition.gauge(PREFIX + figure.name, figure.help, [({}, value)])
+        for metric, value in self._scalars.items():
+            if not metric.is_counter:
+                exposition.gauge(PREFIX + metric.name, metric.help, [({}, value)])
 
 
 def _add_series(
--- a/rhubarbhinge/timing/_service.py
+++ b/rhubarbhinge/timing/_service.py
@@ -68,9 +68,9 @@
         :param callback: called without arguments.
         :returns: a handle to cancel the timer with.
         """
-        subscription = TimerHandle(callback, None, self._count_cancelled)
-        self._push(self.now_ms() + delay_ms, subscription)
-        return subscription
+        timer = TimerHandle(callback, None, self._count_cancelled)
+        self._push(self.now_ms() + delay_ms, timer)
+        return timer
 
     def every(self, period_ms: float, callback: Callable[[], None]) -> TimerHandle:
         """Schedule a callback to run periodically, first after one period.
@@ -84,9 +84,9 @@
         """
         if period_ms <= 0:
             raise ValueError("the period must be greater than 0 ms")
-        subscription = TimerHandle(callback, period_ms, self._count_cancelled)
-        self._push(self.now_ms() + period_ms, subscription)
-        return subscription
+        timer = TimerHandle(callback, period_ms, self._count_cancelled)
+        self._push(self.now_ms() + period_ms, timer)
+        return timer
 
     def on_pause(self, callback: Callable[[float], None]) -> None:
         """Register a callback for pauses of the process.
@@ -142,21 +142,21 @@
         due = []
         while self._heap and self._heap[0][0] <= now_ms:
             due.append(heapq.heappop(self._heap))
-        for due_ms, _, subscription in due:
-            if subscription.active:
-                self._run(due_ms, now_ms, subscription)
+        for due_ms, _, timer in due:
+            if timer.active:
+                self._run(due_ms, now_ms, timer)
             else:
                 self._cancelled_count = max(0, self._cancelled_count - 1)
 
-    def _run(self, due_ms: float, now_ms: float, subscription: TimerHandle) -> None:
-        period_ms = subscription.period_ms
+    def _run(self, due_ms: float, now_ms: float, timer: TimerHandle) -> None:
+        period_ms = timer.period_ms
         if period_ms is None:
-            subscription.active = False
+            timer.active = False
         else:
             next_ms = due_ms + period_ms
-            self._push(next_ms if next_ms > now_ms else now_ms + period_ms, subscription)
+            self._push(next_ms if next_ms > now_ms else now_ms + period_ms, timer)
         try:
-            subscription.callback()
+            timer.callback()
         except Exception as error:
             fail_stop(error)
 
@@ -167,8 +167,8 @@
         except Exception as error:
             fail_stop(error)
 
-    def _push(self, due_ms: float, subscription: TimerHandle) -> None:
-        heapq.heappush(self._heap, (due_ms, next(self._sequence), subscription))
+    def _push(self, due_ms: float, timer: TimerHandle) -> None:
+        heapq.heappush(self._heap, (due_ms, next(self._sequence), timer))
 
     def _count_cancelled(self) -> None:
         self._cancelled_count += 1
--- a/rhubarbhinge/timing/tests/test_service.py
+++ b/rhubarbhinge/timing/tests/test_service.py
@@ -51,7 +51,7 @@
         self.assertEqual([10, 20, 30], [round(at_ms) for _, at_ms in self.seen])
 
     def test_periodic_timer_repeats_until_cancelled_and_skips_missed_periods(self):
-        subscription = self.timers.every(100, self.recorder("p"))
+        timer = self.timers.every(100, self.recorder("p"))
         self.run_iterations(4)
         self.poller.late_ms = 1000
         self.run_iterations(1)
@@ -60,7 +60,7 @@
         times = [at_ms for _, at_ms in self.seen]
         self.assertEqual(len(set(times)), len(times))
         self.assertTrue(all(b - a >= 100 for a, b in zip(times, times[1:], strict=False)))
-        subscription.cancel()
+        timer.cancel()
         count = len(self.seen)
         self.run_iterations(5)
         self.assertEqual(count, len(self.seen))
@@ -132,10 +132,10 @@
         self.setUp()
         wanted = []
         for index, (delay_ms, cancelled) in enumerate(plan):
-            subscription = self.timers.after(delay_ms, self.recorder((index, delay_ms)))
+            timer = self.timers.after(delay_ms, self.recorder((index, delay_ms)))
             if cancelled:
-                subscription.cancel()
-                subscription.cancel()
+                timer.cancel()
+                timer.cancel()
             else:
                 wanted.append(index)
         self.poller.max_wait_ms = 7
--- a/rhubarbhinge/utils/fake_timers.py
+++ b/rhubarbhinge/utils/fake_timers.py
@@ -32,10 +32,10 @@
         :param callback: called without arguments.
         :returns: a handle to cancel the timer with.
         """
-        subscription = TimerHandle(callback, None, lambda: None)
-        entry = (self._now_ms + delay_ms, next(self._sequence), subscription)
+        timer = TimerHandle(callback, None, lambda: None)
+        entry = (self._now_ms + delay_ms, next(self._sequence), timer)
         heapq.heappush(self._heap, entry)
-        return subscription
+        return timer
 
     def stall(self, duration_ms: float) -> None:
         """Advance the clock without running timers, like a process that is stalled.
@@ -51,9 +51,9 @@
         """
         end_ms = self._now_ms + duration_ms
         while self._heap and self._heap[0][0] <= end_ms:
-            due_ms, _, subscription = heapq.heappop(self._heap)
+            due_ms, _, timer = heapq.heappop(self._heap)
             self._now_ms = max(self._now_ms, due_ms)
-            if subscription.active:
-                subscription.active = False
-                subscription.callback()
+            if timer.active:
+                timer.active = False
+                timer.callback()
         self._now_ms = end_ms
