--- a/rhubarbhinge/plans/_shard_set.py
+++ b/rhubarbhinge/plans/_shard_set.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct
 
-from rhubarbhinge.utils.bounded_types import Count, Name, Share
+from rhubarbhinge.utils.bounded_types import Count, Fraction, Name
 
 
 class ShardSet(Struct, frozen=True):
@@ -18,7 +18,7 @@
 
     services: Annotated[tuple[Name, ...], Meta(min_length=1)]
     top_k: Count
-    least_share: Share
+    least_share: Fraction
 
     def __post_init__(self) -> None:
         if len(set(self.services)) != len(self.services):
--- a/rhubarbhinge/utils/bounded_types.py
+++ b/rhubarbhinge/utils/bounded_types.py
@@ -37,4 +37,4 @@
 AgeMs = Annotated[float, Meta(ge=-1, le=MAX_MS)]
 """An age; -1 if the event has never happened."""
 Rate = Annotated[float, Meta(ge=0, le=MAX_RATE)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
