--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -62,7 +62,7 @@
         self._lanes: dict[SearcherStart, Lane] = {}
         self._ended_checks = EndedChecks(timers, self.open_ahead)
         self._links = Links(
-            self._opened, self._received, self._closed, notice_silence=True
+            self._opened, self._received, self._closed, detect_dead_peers=True
         ).register(self)
 
     @property
@@ -156,7 +156,7 @@
     def _take_idle(self, lane: Lane, now_ms: float) -> Connection | None:
         while lane.idle:
             conn = lane.idle.pop()
-            if conn.idle_until_ms > now_ms and self._links.is_quiet(conn.link):
+            if conn.idle_until_ms > now_ms and self._links.is_idle(conn.link):
                 return conn
             self._drop(conn)
         return None
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -90,7 +90,7 @@
         self.timers = TimerService().register(self)
         self._membership_settled_at_ms = self.timers.now_ms() + MEMBERSHIP_SETTLE_MS
         store_client = HttpClient(self.timers).register(self)
-        peer_client = HttpClient(self.timers, takes_gzip=True).register(self)
+        peer_client = HttpClient(self.timers, accept_gzip=True).register(self)
         self._fleet = Fleet(self.timers.now_ms, self._searcher_removed)
         self._reach = DomainReach(
             self.timers.now_ms,
@@ -279,7 +279,7 @@
             self._event_log.flush()
 
     def _serving_changed(self, serving: bool) -> None:
-        self._callers.close_after_answers(not serving)
+        self._callers.close_after_responses(not serving)
 
     def _accept_callers(self) -> None:
         if not self._accepts_callers:
@@ -290,7 +290,7 @@
         self._accept_callers()
         self._peers.announce_plan()
         self._gateway.on_plan(plan)
-        self._callers.limit(_limits(plan.limits))
+        self._callers.set_limits(_limits(plan.limits))
         self._serving_state.update()
 
     @handler("signal", channel="*")
@@ -315,5 +315,5 @@
         connections=MAX_CALLER_CONNECTIONS,
         header_timeout_ms=limits.header_timeout_ms,
         idle_timeout_ms=limits.idle_timeout_ms,
-        gzip_least_bytes=NEVER_GZIP_BYTES,
+        gzip_min_bytes=NEVER_GZIP_BYTES,
     )
--- a/rhubarbhinge/members/tests/test_codec.py
+++ b/rhubarbhinge/members/tests/test_codec.py
@@ -19,21 +19,21 @@
     encode_heartbeat,
     encode_members,
 )
-from rhubarbhinge.utils.testing_revisions import at
-from rhubarbhinge.utils.testing_values import FUZZ, JSON_VALUES, mutated
+from rhubarbhinge.utils.testing_revisions import make_revision
+from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS, JSON_VALUES, mutated_json
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None)
 MEMBER = Member("vm-3", "10.0.0.3", "hall-b", 77, 4, MemberState.SUSPECT)
 REVISION, UPDATES, ERA = 6, 10, 12
 """Places of fields in a heartbeat as it is sent."""
 BEAT = Heartbeat(
-    "vm-2", "hall-a", 9, 3, False, True, at(40), 12.0, 99, {"hall-b": 900.0}, (MEMBER,)
+    "vm-2", "hall-a", 9, 3, False, True, make_revision(40), 12.0, 99, {"hall-b": 900.0}, (MEMBER,)
 )
 
 
 class HeartbeatTest(unittest.TestCase):
     def test_a_heartbeat_reads_back(self):
-        later = replace(BEAT, revision=at(40, 3), plan_version=24)
+        later = replace(BEAT, revision=make_revision(40, 3), plan_version=24)
         for beat in (BEAT, later, replace(BEAT, leaving=True, asks=False, age_ms=-1.0, updates=())):
             self.assertEqual(decode_heartbeat(encode_heartbeat(beat)), beat)
 
@@ -77,18 +77,18 @@
             decode_heartbeat(data.replace(b"[2,", b"[1,", 1))
 
     def test_a_release_before_eras_tells_none_and_passes_over_them(self):
-        later = replace(BEAT, revision=at(40, 3), plan_version=24)
+        later = replace(BEAT, revision=make_revision(40, 3), plan_version=24)
         sent = orjson.loads(encode_heartbeat(later))
         self.assertEqual(sent[REVISION], 40)
         before = decode_heartbeat(orjson.dumps(sent[:ERA]))
-        self.assertEqual((before.revision, before.plan_version), (at(40), 0))
+        self.assertEqual((before.revision, before.plan_version), (make_revision(40), 0))
 
     def test_a_later_release_may_append_fields(self):
         data = encode_heartbeat(BEAT)[:-1] + b',"more"]'
         self.assertEqual(decode_heartbeat(data), BEAT)
 
-    @FUZZ
-    @given(JSON_VALUES | mutated(orjson.loads(encode_heartbeat(BEAT))))
+    @FUZZ_SETTINGS
+    @given(JSON_VALUES | mutated_json(orjson.loads(encode_heartbeat(BEAT))))
     def test_a_heartbeat_with_a_fault_is_a_heartbeat_or_a_coded_error(self, value):
         try:
             beat = decode_heartbeat(msgspec.json.encode(value))
@@ -124,8 +124,8 @@
         except MembersError as error:
             self.assertEqual(error.code, "bad-members")
 
-    @FUZZ
-    @given(JSON_VALUES | mutated(orjson.loads(encode_members([MEMBER, MEMBER]))))
+    @FUZZ_SETTINGS
+    @given(JSON_VALUES | mutated_json(orjson.loads(encode_members([MEMBER, MEMBER]))))
     def test_a_list_with_a_fault_is_a_list_or_a_coded_error(self, value):
         try:
             members = decode_members(msgspec.json.encode(value))
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.peers import KnownState, PeerReport, PeerReports, SharedSource, encode_state
 from rhubarbhinge.published import Changes, ReadFailure, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.web import Failure, Reply
 
 READER = Member("vm-1", "10.0.0.1", "hall-a", 7)
@@ -19,11 +19,11 @@
     def __init__(self):
         self.watched_revisions: list[int] = []
         self.stale_reads: list[bool] = []
-        self.outcome: Changes | ReadFailure = Changes(at(50))
+        self.outcome: Changes | ReadFailure = Changes(make_revision(50))
 
     def read_all(self, on_done, allow_stale=False) -> None:
         self.stale_reads.append(allow_stale)
-        on_done(Snapshot(at(40), None, ()))
+        on_done(Snapshot(make_revision(40), None, ()))
 
     def wait_for_changes(self, after_revision, on_done) -> None:
         self.watched_revisions.append(after_revision.number)
@@ -52,7 +52,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(40), 0.0),
+            lambda: Published(make_revision(40), 0.0),
         )
         self.reports = PeerReports()
         self.source = SharedSource(self.timers, self.client, self.store, "vm-2", "hall-a", 7380)
@@ -62,10 +62,10 @@
     def receive_report(self, age_ms: float = 12.0, **changes: object) -> None:
         member = replace(READER, **changes)
         self.membership.on_members([member])
-        self.reports.add(PeerReport(member, at(40), age_ms, self.timers.now_ms()))
+        self.reports.add(PeerReport(member, make_revision(40), age_ms, self.timers.now_ms()))
 
     def wait(self, after: int = 40) -> None:
-        self.source.wait_for_changes(at(after), self.outcomes.append)
+        self.source.wait_for_changes(make_revision(after), self.outcomes.append)
 
     def set_response(self, state: Snapshot | Changes, position: int = 3) -> None:
         self.client.outcome = Reply(200, {}, encode_state(state, "log", position))
@@ -79,9 +79,9 @@
 
     def test_lowest_name_of_the_domain_reads_for_the_others(self):
         self.receive_report()
-        self.set_response(Snapshot(at(41), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
-        self.set_response(Changes(at(42), None, (), ("i-1",), 6.0, by_peer=True), 4)
+        self.set_response(Changes(make_revision(42), None, (), ("i-1",), 6.0, by_peer=True), 4)
         self.wait(41)
         path = "10.0.0.1/v1/published-changes"
         self.assertEqual(self.client.paths, [path, path + "?log=log&after=3"])
@@ -113,7 +113,7 @@
         self.wait()
         self.assertEqual(self.client.paths, [])
         self.timers.advance(3_000.0)
-        self.set_response(Snapshot(at(41), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         self.assertEqual(self.client.paths, ["10.0.0.1/v1/published-changes"])
 
@@ -129,52 +129,52 @@
 
     def test_reader_that_is_behind_is_not_followed(self):
         self.receive_report()
-        self.set_response(Snapshot(at(39), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(39), None, (), 5.0))
         self.wait()
-        self.assertEqual(self.outcomes, [Changes(at(50))])
+        self.assertEqual(self.outcomes, [Changes(make_revision(50))])
 
     def test_reader_of_former_era_is_behind(self):
         self.receive_report()
-        self.set_response(Snapshot(at(90, 1), None, (), 5.0))
-        self.source.wait_for_changes(at(40, 2), self.outcomes.append)
-        self.assertEqual(self.outcomes, [Changes(at(50))])
+        self.set_response(Snapshot(make_revision(90, 1), None, (), 5.0))
+        self.source.wait_for_changes(make_revision(40, 2), self.outcomes.append)
+        self.assertEqual(self.outcomes, [Changes(make_revision(50))])
 
     def test_reader_of_later_era_with_lower_number_is_followed(self):
         self.receive_report()
-        self.set_response(Snapshot(at(9, 2), None, (), 5.0))
-        self.source.wait_for_changes(at(40, 1), self.outcomes.append)
-        self.assertEqual([one.revision for one in self.outcomes], [at(9, 2)])
+        self.set_response(Snapshot(make_revision(9, 2), None, (), 5.0))
+        self.source.wait_for_changes(make_revision(40, 1), self.outcomes.append)
+        self.assertEqual([one.revision for one in self.outcomes], [make_revision(9, 2)])
 
     def test_log_position_is_valid_for_its_era_only(self):
         self.receive_report()
-        self.set_response(Snapshot(at(41, 1), None, (), 5.0))
-        self.source.wait_for_changes(at(40, 1), self.outcomes.append)
+        self.set_response(Snapshot(make_revision(41, 1), None, (), 5.0))
+        self.source.wait_for_changes(make_revision(40, 1), self.outcomes.append)
         # Another node has reported the next era since.
-        self.set_response(Snapshot(at(42, 2), None, (), 5.0))
-        self.source.wait_for_changes(at(30, 2), self.outcomes.append)
+        self.set_response(Snapshot(make_revision(42, 2), None, (), 5.0))
+        self.source.wait_for_changes(make_revision(30, 2), self.outcomes.append)
         self.assertNotIn("after=", self.client.paths[-1])
 
     def test_response_to_a_wait_from_a_former_era_is_not_used(self):
-        known = [KnownState(revision=at(40, 1))]
+        known = [KnownState(revision=make_revision(40, 1))]
         self.source.set_peers(self.membership, self.reports, lambda: known[-1])
         self.receive_report()
         paths = self.client.paths
-        self.client.on_call = lambda: known.append(KnownState(revision=at(30, 2)))
-        self.set_response(Changes(at(31, 2), None, (), ("i-1",), 6.0, by_peer=True))
-        self.source.wait_for_changes(at(40, 1), self.outcomes.append)
+        self.client.on_call = lambda: known.append(KnownState(revision=make_revision(30, 2)))
+        self.set_response(Changes(make_revision(31, 2), None, (), ("i-1",), 6.0, by_peer=True))
+        self.source.wait_for_changes(make_revision(40, 1), self.outcomes.append)
         self.assertEqual((len(paths), "after=" in paths[-1], len(self.outcomes)), (2, False, 1))
 
     def test_reader_is_not_behind_a_stale_first_list(self):
         self.source.read_all(lambda outcome: None)
         self.receive_report()
-        self.set_response(Snapshot(at(9, 2), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(9, 2), None, (), 5.0))
         self.timers.advance(500.0)
-        self.source.wait_for_changes(at(56, 2), self.outcomes.append)
-        self.assertEqual([one.revision for one in self.outcomes], [at(9, 2)])
+        self.source.wait_for_changes(make_revision(56, 2), self.outcomes.append)
+        self.assertEqual([one.revision for one in self.outcomes], [make_revision(9, 2)])
 
     def test_full_state_is_requested_from_the_reader_once(self):
         self.receive_report()
-        self.set_response(Snapshot(at(41), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         for after in (False, True):
             if not after:
@@ -198,13 +198,13 @@
 
     def test_log_position_is_reset_after_a_platform_call(self):
         self.receive_report()
-        self.set_response(Snapshot(at(41), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         self.client.outcome = Failure("reset", True)
         self.wait()
         self.timers.advance(3_001.0)
         self.receive_report()
-        self.set_response(Snapshot(at(60), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(60), None, (), 5.0))
         self.wait()
         self.assertNotIn("after=", self.client.paths[-1])
 
@@ -213,7 +213,7 @@
         self.receive_report(name="vm-9")
         self.wait()
         self.assertFalse(self.source.reads_platform)
-        self.set_response(Snapshot(at(41), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         self.assertEqual(len(self.client.paths), 1)
 
@@ -242,11 +242,11 @@
         self.start()
         self.wait()
         self.timers.advance(120.0)
-        self.set_response(Snapshot(at(41), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(41), None, (), 5.0))
         self.receive_report()
         self.timers.advance(60.0)
         self.assertEqual((self.store.watched_revisions, len(self.client.paths)), ([], 1))
-        self.assertEqual(self.outcomes[0].revision, at(41))
+        self.assertEqual(self.outcomes[0].revision, make_revision(41))
 
     def test_lowest_name_reads_after_discovery(self):
         self.start()
@@ -277,7 +277,7 @@
     def test_other_nodes_ask_the_lowest_name_after_discovery(self):
         self.start()
         self.add_members("vm-0", "vm-1", "vm-3")
-        self.set_response(Snapshot(at(41), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(41), None, (), 5.0))
         self.wait()
         self.timers.advance(300.0)
         self.assertEqual((self.store.watched_revisions, self.client.paths), ([], []))
@@ -292,10 +292,11 @@
         self.wait()
         self.timers.advance(1_500.0)
         self.assertGreater(len(self.client.paths), 2)
-        self.set_response(Snapshot(at(41), None, (), 5.0))
+        self.set_response(Snapshot(make_revision(41), None, (), 5.0))
         self.timers.advance(300.0)
         self.assertEqual(
-            (self.store.watched_revisions, [one.revision for one in self.outcomes]), ([], [at(41)])
+            (self.store.watched_revisions, [one.revision for one in self.outcomes]),
+            ([], [make_revision(41)]),
         )
 
     def test_node_that_finds_no_reader_asks_the_platform_after_the_timeout(self):
@@ -317,6 +318,6 @@
         self.assertTrue(self.source.reads_platform)
         self.timers.advance(200.0)
         self.assertFalse(self.source.reads_platform)
-        self.store.outcome = Changes(at(60))
+        self.store.outcome = Changes(make_revision(60))
         self.wait()
         self.assertTrue(self.source.reads_platform)
--- a/rhubarbhinge/peers/tests/test_state_pull.py
+++ b/rhubarbhinge/peers/tests/test_state_pull.py
@@ -19,11 +19,11 @@
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.revision import Revision
 from rhubarbhinge.utils.testing import run_until, stop_tree
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.web import Reply
 from standins.fleet import free_ports
 
-HEARTBEAT = Heartbeat("vm-2", "hall-b", 7, 0, False, False, at(51), 12.0, 0)
+HEARTBEAT = Heartbeat("vm-2", "hall-b", 7, 0, False, False, make_revision(51), 12.0, 0)
 MEMBER = Member("vm-7", "127.0.0.7", "hall-b", 3)
 
 
@@ -31,7 +31,7 @@
     """Has revision 50, and accepts newer states."""
 
     def __init__(self):
-        self.revision = at(50)
+        self.revision = make_revision(50)
         self.plan = None
         self.needs_peers = False
         self.needs_full_state = False
@@ -65,7 +65,7 @@
             on_done(Reply(200, {}, encode_members([MEMBER])))
             return
         self.pulled_ips.append(ip)
-        on_done(Reply(200, {}, encode_state(Snapshot(at(51), None, (), 5.0), "log", 1)))
+        on_done(Reply(200, {}, encode_state(Snapshot(make_revision(51), None, (), 5.0), "log", 1)))
 
 
 class StatePullTest(unittest.TestCase):
@@ -113,13 +113,13 @@
     def test_node_that_stays_behind_pulls_from_peer(self):
         self.receive()
         self.assertEqual(self.client.pulled_ips, [])
-        self.assertTrue(run_until(self.root, lambda: self.follower.revision == at(51)))
+        self.assertTrue(run_until(self.root, lambda: self.follower.revision == make_revision(51)))
         self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
     def test_node_that_catches_up_does_not_pull(self):
         self.receive()
-        self.follower.revision = at(51)
-        self.receive(revision=at(51))
+        self.follower.revision = make_revision(51)
+        self.receive(revision=make_revision(51))
         run_until(self.root, lambda: False, 1.0)
         self.assertEqual(self.client.pulled_ips, [])
 
@@ -130,30 +130,30 @@
 
     def test_peer_of_later_era_with_lower_number_is_ahead(self):
         self.follower.needs_peers = True
-        self.receive(revision=at(60), plan_version=0, age_ms=-1.0)
-        self.receive(revision=at(9, 1))
+        self.receive(revision=make_revision(60), plan_version=0, age_ms=-1.0)
+        self.receive(revision=make_revision(9, 1))
         self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
     def test_peer_with_only_a_newer_plan_is_ahead(self):
         self.follower.needs_peers = True
-        self.receive(revision=at(50))
+        self.receive(revision=make_revision(50))
         self.assertEqual(self.client.pulled_ips, [])
-        self.receive(revision=at(49), plan_version=3)
+        self.receive(revision=make_revision(49), plan_version=3)
         self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
     def test_node_that_needs_full_state_pulls_from_peer_at_same_revision(self):
         self.follower.needs_peers = True
-        self.receive(revision=at(50))
+        self.receive(revision=make_revision(50))
         self.assertEqual(self.client.pulled_ips, [])
         self.follower.needs_full_state = True
-        self.receive(revision=at(50), age_ms=-1.0)
+        self.receive(revision=make_revision(50), age_ms=-1.0)
         self.assertEqual(self.client.pulled_ips, [])
-        self.receive(revision=at(50))
+        self.receive(revision=make_revision(50))
         self.assertEqual(self.client.pulled_ips, ["127.0.0.2"])
 
     def test_peer_with_unconfirmed_state_is_not_asked(self):
         self.follower.needs_peers = True
-        self.receive(revision=at(60), age_ms=-1.0)
+        self.receive(revision=make_revision(60), age_ms=-1.0)
         self.assertEqual(self.client.pulled_ips, [])
 
     def test_peer_of_same_domain_is_preferred(self):
--- a/rhubarbhinge/peers/tests/test_state_service.py
+++ b/rhubarbhinge/peers/tests/test_state_service.py
@@ -16,8 +16,8 @@
 from rhubarbhinge.plans import CallerLimits, ServingPlan
 from rhubarbhinge.published import Follower, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
-from rhubarbhinge.utils.testing_values import FUZZ
+from rhubarbhinge.utils.testing_revisions import make_revision
+from rhubarbhinge.utils.testing_values import FUZZ_SETTINGS
 from rhubarbhinge.web import Request, Responder, Response
 
 ODD_NUMBERS = st.sampled_from(
@@ -38,12 +38,14 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(0), -1.0),
+            lambda: Published(make_revision(0), -1.0),
         )
         self.service = StateService(self.timers, self.follower, membership, lambda: True)
         self.follower.start()
         plan = ServingPlan(7, (), {}, CallerLimits())
-        source.callback(Snapshot(at(5), plan, (Searcher("i-1", "s", "10.0.0.9", 80, "hall-a", 2),)))
+        source.callback(
+            Snapshot(make_revision(5), plan, (Searcher("i-1", "s", "10.0.0.9", 80, "hall-a", 2),))
+        )
 
     def get(self, path: str, query: dict[str, str]) -> Response:
         responses: list[Response] = []
@@ -53,7 +55,7 @@
         (response,) = responses
         return response
 
-    @FUZZ
+    @FUZZ_SETTINGS
     @given(
         st.sampled_from([STATE_PATH, CHANGES_PATH, MEMBERS_PATH, "/other"]),
         st.dictionaries(st.sampled_from(PARAMETERS), ODD_NUMBERS | st.text(max_size=6)),
@@ -62,7 +64,7 @@
         response = self.get(path, query)
         self.assertEqual(response.status, 404 if path == "/other" else 200)
         if path in (STATE_PATH, CHANGES_PATH):
-            self.assertEqual(decode_state(response.body).state.revision, at(5))
+            self.assertEqual(decode_state(response.body).state.revision, make_revision(5))
 
     def test_long_poll_at_latest_position_returns_no_changes(self):
         log = self.follower.log
--- a/rhubarbhinge/peers/tests/test_state_transfer_size.py
+++ b/rhubarbhinge/peers/tests/test_state_transfer_size.py
@@ -17,7 +17,7 @@
 from rhubarbhinge.published import Changes
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.testing import run_until, stop_tree
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 FOLLOWERS = 11
 """Nodes that follow the reader in a failure domain of twelve."""
@@ -69,8 +69,8 @@
         changed = replace(plan, version=8, routes=(route, *plan.routes[1:]))
         leaving = tuple(replace(one, draining=True) for one in searchers[:60])
         for label, changes in (
-            ("a serving plan", Changes(at(101), changed)),
-            ("many searchers at once", Changes(at(102), None, leaving)),
+            ("a serving plan", Changes(make_revision(101), changed)),
+            ("many searchers at once", Changes(make_revision(102), None, leaving)),
         ):
             with self.subTest(label):
                 self.assertLessEqual(self.sent_bytes_for(changes), MAX_BYTES)
@@ -81,7 +81,7 @@
             reader = ReaderNode(self.root, self.timers, seed=2 + changed)
             reader.receive(self.state)
             if changed:
-                reader.receive(Changes(at(101), replace(self.state.plan, version=8)))
+                reader.receive(Changes(make_revision(101), replace(self.state.plan, version=8)))
             for node in self.nodes:
                 node.source._port = reader.port
             with self.subTest(changed=changed):
@@ -93,7 +93,7 @@
         added = replace(self.state.searchers[0], incarnation="i-new")
         removed = self.state.searchers[1].incarnation
         reader.receive(self.state)
-        reader.receive(Changes(at(101), None, (added,), (removed,)))
+        reader.receive(Changes(make_revision(101), None, (added,), (removed,)))
         for node in self.nodes:
             node.source._port = reader.port
         self.wait_until_received(reader)
--- a/rhubarbhinge/published/tests/test_follower.py
+++ b/rhubarbhinge/published/tests/test_follower.py
@@ -8,7 +8,7 @@
 from rhubarbhinge.published import Changes, Follower, ReadFailure, Snapshot
 from rhubarbhinge.published.tests.fake_source import FakeSource
 from rhubarbhinge.utils.fake_timers import FakeTimers
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 
 def plan(version: int) -> ServingPlan:
@@ -41,7 +41,7 @@
         return sorted(one.searcher.incarnation for one in self.fleet.all())
 
     def respond_with_list(self) -> None:
-        self.respond(Snapshot(at(10), plan(3), (searcher("i-1"), searcher("i-2"))))
+        self.respond(Snapshot(make_revision(10), plan(3), (searcher("i-1"), searcher("i-2"))))
 
     def fail_then_respond(self, outcome) -> None:
         self.respond(ReadFailure("timeout"))
@@ -51,33 +51,33 @@
     def test_list_and_changes_are_applied(self):
         self.respond_with_list()
         self.assertEqual(self.source.calls, ["all", "after 10"])
-        self.respond(Changes(at(12), plan(5), (searcher("i-3"),), ("i-1",)))
+        self.respond(Changes(make_revision(12), plan(5), (searcher("i-3"),), ("i-1",)))
         self.assertEqual((self.plans, self.known_incarnations()), ([3, 5], ["i-2", "i-3"]))
         self.timers.advance(300.0)
         self.assertEqual(self.source.calls[-1], "after 12")
 
     def test_plan_version_never_decreases(self):
         self.respond_with_list()
-        self.respond(Changes(at(12), plan(2)))
-        self.follower.offer(Snapshot(at(20), plan(1), ()))
+        self.respond(Changes(make_revision(12), plan(2)))
+        self.follower.offer(Snapshot(make_revision(20), plan(1), ()))
         self.assertEqual(self.plans, [3])
 
     def test_older_state_of_peer_is_ignored(self):
         self.respond_with_list()
-        self.follower.offer(Snapshot(at(9), plan(2), (searcher("i-9"),)))
+        self.follower.offer(Snapshot(make_revision(9), plan(2), (searcher("i-9"),)))
         self.assertEqual((self.plans, self.known_incarnations()), ([3], ["i-1", "i-2"]))
-        self.assertEqual(self.follower.revision, at(10))
+        self.assertEqual(self.follower.revision, make_revision(10))
 
     def test_newer_plan_lost_by_platform_is_adopted_from_older_state(self):
         self.respond_with_list()
-        self.follower.offer(Snapshot(at(9), plan(9), (searcher("i-9"),)))
+        self.follower.offer(Snapshot(make_revision(9), plan(9), (searcher("i-9"),)))
         self.assertEqual((self.plans, self.known_incarnations()), ([3, 9], ["i-1", "i-2"]))
-        self.assertEqual(self.follower.revision, at(10))
+        self.assertEqual(self.follower.revision, make_revision(10))
 
     def test_newer_state_of_peer_is_applied(self):
         self.respond(ReadFailure("status-503"))
         self.assertTrue(self.follower.needs_peers)
-        self.follower.offer(Snapshot(at(15), plan(4), (searcher("i-9"),), 100.0))
+        self.follower.offer(Snapshot(make_revision(15), plan(4), (searcher("i-9"),), 100.0))
         self.assertEqual((self.plans, self.known_incarnations()), ([4], ["i-9"]))
         self.assertTrue(self.follower.is_current())
 
@@ -96,7 +96,7 @@
         self.respond_with_list()
         self.respond(ReadFailure("status-410", history_lost=True))
         self.assertEqual(self.source.calls[-1], "all")
-        self.respond(Snapshot(at(30), plan(4), (searcher("i-2"),)))
+        self.respond(Snapshot(make_revision(30), plan(4), (searcher("i-2"),)))
         self.assertEqual(self.known_incarnations(), ["i-2"])
 
     def test_history_lost_after_each_list_is_retried_with_backoff(self):
@@ -105,7 +105,7 @@
             while handled < len(self.source.calls) < 1_000:
                 handled = len(self.source.calls)
                 if self.source.calls[-1] == "all":
-                    self.respond(Snapshot(at(5), plan(4), (searcher("i-2"),)))
+                    self.respond(Snapshot(make_revision(5), plan(4), (searcher("i-2"),)))
                 else:
                     self.respond(ReadFailure("status-410", history_lost=True))
             self.timers.advance(50.0)
@@ -114,10 +114,10 @@
 
     def test_entries_that_lapsed_during_an_outage_are_retained(self):
         self.respond_with_list()
-        self.fail_then_respond(Changes(at(20), None, (), ("i-1", "i-2")))
+        self.fail_then_respond(Changes(make_revision(20), None, (), ("i-1", "i-2")))
         self.assertEqual(self.known_incarnations(), ["i-1", "i-2"])
         self.timers.advance(300.0)
-        self.respond(Changes(at(21), None, (searcher("i-1"),)))
+        self.respond(Changes(make_revision(21), None, (searcher("i-1"),)))
         self.timers.advance(2_500.0)
         self.assertEqual(self.known_incarnations(), ["i-1"])
 
@@ -125,23 +125,23 @@
         return tuple(searcher(f"i-{number}") for number in range(10, 30))
 
     def test_mass_lapse_is_retained(self):
-        self.respond(Snapshot(at(10), plan(3), self.many_searchers()))
+        self.respond(Snapshot(make_revision(10), plan(3), self.many_searchers()))
         names = tuple(one.incarnation for one in self.many_searchers())
         self.timers.advance(3_000.0)
-        self.respond(Changes(at(20), None, (), names[:8]))
+        self.respond(Changes(make_revision(20), None, (), names[:8]))
         self.assertEqual(len(self.known_incarnations()), 20)
         self.timers.advance(300.0)
-        self.respond(Changes(at(21), None, self.many_searchers()[:5], names[8:9]))
+        self.respond(Changes(make_revision(21), None, self.many_searchers()[:5], names[8:9]))
         self.timers.advance(300.0)
         self.assertEqual(len(self.known_incarnations()), 20)
         self.timers.advance(1_000.0)
         self.assertEqual(set(names) - set(self.known_incarnations()), set(names[5:9]))
 
     def test_peers_do_not_extend_the_retention_of_lapsed_entries(self):
-        self.respond(Snapshot(at(10), plan(3), self.many_searchers()))
+        self.respond(Snapshot(make_revision(10), plan(3), self.many_searchers()))
         names = tuple(one.incarnation for one in self.many_searchers())
         self.timers.advance(3_000.0)
-        self.respond(Changes(at(20), None, (), names[:8]))
+        self.respond(Changes(make_revision(20), None, (), names[:8]))
         fleet = Fleet(self.timers.now_ms, lambda observed: None)
         peer = Follower(self.timers, FakeSource(), fleet, random.Random(1), lambda new: None)
         self.timers.advance(500.0)
@@ -153,7 +153,7 @@
         self.assertEqual(len(list(fleet.all())), 12)
 
     def test_incremental_changes_include_lapsed_and_republished_entries(self):
-        self.respond(Snapshot(at(10), plan(3), self.many_searchers()))
+        self.respond(Snapshot(make_revision(10), plan(3), self.many_searchers()))
         names = tuple(one.incarnation for one in self.many_searchers())
         source = FakeSource()
         fleet = Fleet(self.timers.now_ms, lambda observed: None)
@@ -162,12 +162,12 @@
         source.respond(self.follower.snapshot())
         position = (self.follower.log.id, self.follower.log.position)
         self.timers.advance(3_000.0)
-        self.respond(Changes(at(20), None, (searcher("i-new"),), names[:8]))
+        self.respond(Changes(make_revision(20), None, (searcher("i-new"),), names[:8]))
         source.respond(self.follower.changes_since(*position))
         position = (self.follower.log.id, self.follower.log.position)
-        self.assertEqual((peer.revision, len(list(fleet.all()))), (at(20), 21))
+        self.assertEqual((peer.revision, len(list(fleet.all()))), (make_revision(20), 21))
         self.timers.advance(300.0)
-        self.respond(Changes(at(21), None, self.many_searchers()[:2]))
+        self.respond(Changes(make_revision(21), None, self.many_searchers()[:2]))
         source.respond(self.follower.changes_since(*position))
         # It receives nothing more, as if it read the platform itself from revision 21 on.
         self.timers.advance(1_500.0)
@@ -175,35 +175,37 @@
         self.assertEqual(removed, set(names[2:8]))
 
     def test_many_entries_are_removed_at_once_if_the_platform_was_not_silent(self):
-        self.respond(Snapshot(at(10), plan(3), self.many_searchers()))
+        self.respond(Snapshot(make_revision(10), plan(3), self.many_searchers()))
         names = tuple(one.incarnation for one in self.many_searchers())
         self.timers.advance(1_000.0)
-        self.respond(Changes(at(20), None, (), names[:8]))
+        self.respond(Changes(make_revision(20), None, (), names[:8]))
         self.assertEqual(len(self.known_incarnations()), 12)
 
     def test_draining_searcher_is_removed_at_once(self):
-        self.respond(Snapshot(at(10), plan(3), (searcher("i-1", draining=True), searcher("i-2"))))
-        self.fail_then_respond(Changes(at(20), None, (), ("i-1", "i-2")))
+        self.respond(
+            Snapshot(make_revision(10), plan(3), (searcher("i-1", draining=True), searcher("i-2")))
+        )
+        self.fail_then_respond(Changes(make_revision(20), None, (), ("i-1", "i-2")))
         self.assertEqual(self.known_incarnations(), ["i-2"])
 
     def test_many_entries_are_removed_at_once_if_a_peer_reports_it(self):
-        self.respond(Snapshot(at(10), plan(3), self.many_searchers()))
+        self.respond(Snapshot(make_revision(10), plan(3), self.many_searchers()))
         names = tuple(one.incarnation for one in self.many_searchers())
         # The peer has observed the grace period, which must not apply twice, even after an outage.
-        self.fail_then_respond(Changes(at(20), None, (), names[:8], 0.0, by_peer=True))
+        self.fail_then_respond(Changes(make_revision(20), None, (), names[:8], 0.0, by_peer=True))
         self.assertEqual(len(self.known_incarnations()), 12)
 
     def test_few_entries_are_removed_at_once(self):
-        self.respond(Snapshot(at(10), plan(3), self.many_searchers()))
+        self.respond(Snapshot(make_revision(10), plan(3), self.many_searchers()))
         names = tuple(one.incarnation for one in self.many_searchers())
-        self.respond(Changes(at(20), None, (), names[:3]))
+        self.respond(Changes(make_revision(20), None, (), names[:3]))
         self.assertEqual(len(self.known_incarnations()), 17)
 
     def test_entry_is_removed_at_once_long_after_an_outage(self):
         self.respond_with_list()
-        self.fail_then_respond(Changes(at(20)))
+        self.fail_then_respond(Changes(make_revision(20)))
         self.timers.advance(2_100.0)
-        self.respond(Changes(at(22), None, (), ("i-1",)))
+        self.respond(Changes(make_revision(22), None, (), ("i-1",)))
         self.assertEqual(self.known_incarnations(), ["i-2"])
 
     def test_state_without_responses_is_not_current(self):
@@ -213,23 +215,25 @@
         self.assertTrue(self.follower.is_current())
         self.timers.advance(2_000.0)
         self.assertFalse(self.follower.is_current())
-        self.follower.on_peer_revision(at(10), 50.0)
+        self.follower.on_peer_revision(make_revision(10), 50.0)
         self.assertTrue(self.follower.is_current())
 
     def test_older_revision_of_peer_does_not_confirm_the_state(self):
         self.respond_with_list()
         self.timers.advance(8_000.0)
-        self.follower.on_peer_revision(at(9), 50.0)
-        self.follower.on_peer_revision(at(10), -1.0)
+        self.follower.on_peer_revision(make_revision(9), 50.0)
+        self.follower.on_peer_revision(make_revision(10), -1.0)
         self.assertFalse(self.follower.is_current())
 
     def test_applied_changes_are_returned_to_followers(self):
         self.respond_with_list()
         log = self.follower.log
         position = log.position
-        self.respond(Changes(at(12), plan(5), (searcher("i-3"), searcher("i-2", True)), ("i-1",)))
+        self.respond(
+            Changes(make_revision(12), plan(5), (searcher("i-3"), searcher("i-2", True)), ("i-1",))
+        )
         received = self.follower.changes_since(log.id, position)
-        self.assertEqual((received.revision, received.plan.version), (at(12), 5))
+        self.assertEqual((received.revision, received.plan.version), (make_revision(12), 5))
         self.assertEqual([one.incarnation for one in received.searchers], ["i-3", "i-2"])
         self.assertEqual((received.removed, received.by_peer), (("i-1",), True))
         unchanged = self.follower.changes_since(log.id, log.position)
@@ -245,10 +249,10 @@
 
     def test_changes_of_peer_are_followed_without_pause(self):
         self.respond_with_list()
-        self.respond(Changes(at(12), None, (searcher("i-3"),), (), 200.0, by_peer=True))
+        self.respond(Changes(make_revision(12), None, (searcher("i-3"),), (), 200.0, by_peer=True))
         self.timers.advance(0.0)
         self.assertEqual(self.source.calls[-1], "after 12")
-        self.respond(Snapshot(at(14), plan(6), (searcher("i-4"),), 100.0))
+        self.respond(Snapshot(make_revision(14), plan(6), (searcher("i-4"),), 100.0))
         self.assertEqual((self.plans, self.known_incarnations()), ([3, 6], ["i-4"]))
         self.timers.advance(0.0)
         self.assertEqual(self.source.calls[-1], "after 14")
--- a/rhubarbhinge/utils/fake_timers.py
+++ b/rhubarbhinge/utils/fake_timers.py
@@ -1,59 +1,59 @@
-"""Timers whose time a test moves."""
+"""A fake timer service whose clock is advanced by the test."""
 
 import heapq
 import itertools
 from collections.abc import Callable
 
-from rhubarbhinge.timing import Subscription
+from rhubarbhinge.timing import TimerHandle
 
 
 class FakeTimers:
-    """Stands in for the timer service in tests of what decides.
+    """Replaces the timer service in tests of code without sockets.
 
-    :param now_ms: the time to start at.
+    :param now_ms: the initial time.
     """
 
     def __init__(self, now_ms: float = 1_000.0):
         self._now_ms = now_ms
         self._sequence = itertools.count()
-        self._heap: list[tuple[float, int, Subscription]] = []
+        self._heap: list[tuple[float, int, TimerHandle]] = []
 
     def now_ms(self) -> float:
-        """Read the clock.
+        """Return the current time.
 
-        :returns: the time.
+        :returns: the time in milliseconds.
         """
         return self._now_ms
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> Subscription:
-        """Call back once.
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
+        """Schedule a callback to run once.
 
-        :param delay_ms: how long from now.
+        :param delay_ms: delay in milliseconds.
         :param callback: called without arguments.
-        :returns: the handle to cancel it by.
+        :returns: a handle to cancel the timer with.
         """
-        subscription = Subscription(callback, None, lambda: None)
-        entry = (self._now_ms + delay_ms, next(self._sequence), subscription)
+        timer = TimerHandle(callback, None, lambda: None)
+        entry = (self._now_ms + delay_ms, next(self._sequence), timer)
         heapq.heappush(self._heap, entry)
-        return subscription
+        return timer
 
-    def stand_still(self, duration_ms: float) -> None:
-        """Let time pass in which nothing is called back, as for a process that is held up.
+    def stall(self, duration_ms: float) -> None:
+        """Advance the clock without running timers, like a process that is stalled.
 
-        :param duration_ms: how long.
+        :param duration_ms: time in milliseconds.
         """
         self._now_ms += duration_ms
 
     def advance(self, duration_ms: float) -> None:
-        """Let time pass, and call back what is due on the way.
+        """Advance the clock and run the timers that become due.
 
-        :param duration_ms: how long.
+        :param duration_ms: time in milliseconds.
         """
         end_ms = self._now_ms + duration_ms
         while self._heap and self._heap[0][0] <= end_ms:
-            due_ms, _, subscription = heapq.heappop(self._heap)
+            due_ms, _, timer = heapq.heappop(self._heap)
             self._now_ms = max(self._now_ms, due_ms)
-            if subscription.active:
-                subscription.active = False
-                subscription.callback()
+            if timer.active:
+                timer.active = False
+                timer.callback()
         self._now_ms = end_ms
