--- a/rhubarbhinge/plans/__init__.py
+++ b/rhubarbhinge/plans/__init__.py
@@ -1,4 +1,4 @@
-"""What is served: routes, services, shard sets and limits of one configuration version."""
+"""Configuration of what is served: routes, services, shard sets and caller limits."""
 
 from rhubarbhinge.plans._caller_limits import CallerLimits
 from rhubarbhinge.plans._plan_change import KeptRoutes, PlanChange
--- a/rhubarbhinge/plans/_caller_limits.py
+++ b/rhubarbhinge/plans/_caller_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what callers may send."""
+"""Limits on requests and connections of callers."""
 
 from msgspec import Struct
 
@@ -6,12 +6,12 @@
 
 
 class CallerLimits(Struct, frozen=True):
-    """Limits on what callers may send, and on how long they may take.
+    """Limits on requests and connections of callers.
 
-    :param header_bytes: most bytes of a request's line and headers.
-    :param body_bytes: most bytes of a request's body.
-    :param header_timeout_ms: longest that a request's headers may take.
-    :param idle_timeout_ms: longest that a connection is kept between two requests.
+    :param header_bytes: greatest size of a request line with its headers.
+    :param body_bytes: greatest size of a request body.
+    :param header_timeout_ms: timeout for receiving the headers of a request.
+    :param idle_timeout_ms: timeout of a connection between two requests.
     """
 
     header_bytes: Count = 16_384
--- a/rhubarbhinge/plans/_plan_change.py
+++ b/rhubarbhinge/plans/_plan_change.py
@@ -1,4 +1,4 @@
-"""What changed from one version of the configuration to another."""
+"""Differences between two versions of the configuration."""
 
 from collections.abc import Iterable
 
@@ -12,10 +12,10 @@
 
 
 class KeptRoutes(Struct, frozen=True):
-    """Routes in a row that stay as they were.
+    """A run of consecutive routes that are unchanged.
 
-    :param start: place of the first among the routes before.
-    :param count: how many.
+    :param start: index of the first among the routes of the base version.
+    :param count: number of routes.
     """
 
     start: Count
@@ -23,14 +23,14 @@
 
 
 class PlanChange(Struct, frozen=True):
-    """What makes one version of the configuration out of another.
-
-    :param base_version: the version that it starts from.
-    :param version: the version that it leads to.
-    :param routes: all routes in their order; those that stay are named by their places.
-    :param services: services that came or changed.
-    :param gone: names of services that are gone.
-    :param limits: what callers may send.
+    """The difference between two versions of the configuration.
+
+    :param base_version: the version that it applies to.
+    :param version: the version that it results in.
+    :param routes: all routes in order; unchanged ones are given as index ranges.
+    :param services: services that were added or changed.
+    :param gone: names of services that were removed.
+    :param limits: the caller limits.
     """
 
     base_version: int
@@ -42,11 +42,11 @@
 
     @classmethod
     def between(cls, base: ServingPlan, plan: ServingPlan) -> "PlanChange":
-        """Work out what leads from one version to another.
+        """Compute the difference between two versions.
 
-        :param base: the one.
-        :param plan: the other.
-        :returns: the change.
+        :param base: the base version.
+        :param plan: the new version.
+        :returns: the difference.
         """
         services = (
             service
@@ -63,14 +63,14 @@
         )
 
     def apply(self, base: ServingPlan) -> ServingPlan:
-        """Make the later version.
+        """Apply the difference.
 
-        :param base: the version that this starts from.
-        :returns: the version that it leads to.
-        :raises ValueError: when it starts from another version.
+        :param base: the base version.
+        :returns: the new version.
+        :raises ValueError: when it applies to another version.
         """
         if base.version != self.base_version:
-            raise ValueError(f"a change of version {self.base_version}, not of {base.version}")
+            raise ValueError(f"change applies to version {self.base_version}, not {base.version}")
         routes: list[Route] = []
         for change in self.routes:
             if isinstance(change, Route):
@@ -84,16 +84,16 @@
 
 
 def _route_changes(before: tuple[Route, ...], after: Iterable[Route]) -> list[Route | KeptRoutes]:
-    place_by_name = {route.name: place for place, route in enumerate(before)}
+    index_by_name = {route.name: index for index, route in enumerate(before)}
     changes: list[Route | KeptRoutes] = []
     for route in after:
-        place = place_by_name.get(route.name)
-        if place is None or before[place] != route:
+        index = index_by_name.get(route.name)
+        if index is None or before[index] != route:
             changes.append(route)
             continue
         last = changes[-1] if changes else None
-        if isinstance(last, KeptRoutes) and last.start + last.count == place:
+        if isinstance(last, KeptRoutes) and last.start + last.count == index:
             changes[-1] = KeptRoutes(last.start, last.count + 1)
         else:
-            changes.append(KeptRoutes(place, 1))
+            changes.append(KeptRoutes(index, 1))
     return changes
--- a/rhubarbhinge/plans/_route.py
+++ b/rhubarbhinge/plans/_route.py
@@ -1,4 +1,4 @@
-"""Where requests of one kind go."""
+"""Routing rule for one kind of request."""
 
 from msgspec import Struct
 
@@ -8,19 +8,19 @@
 
 
 class Route(Struct, frozen=True):
-    """Where requests of one kind go, and what is promised for them.
+    """Routing rule for one kind of request, with its latency objective.
 
     :param name: the route's name.
-    :param host: host name that callers ask for, in lower case.
-    :param path_prefix: start of the path; begins and ends with a slash.
+    :param host: host name of the requests, in lower case.
+    :param path_prefix: prefix of the path; begins and ends with a slash.
     :param idempotent: whether a request may be executed more than once.
-    :param timeout_ms: longest that a caller is kept waiting.
-    :param target_latency_ms: time within which an answer has its full value.
-    :param priority: rank among routes; 0 is the most urgent.
-    :param max_attempts: most searchers that may execute one request, for each shard.
-    :param services: where a request goes, one of these by weight; empty for a search.
-    :param shards: the shards of a search, to all of which it is sent; None otherwise.
-    :raises ValueError: when it has neither services nor shards.
+    :param timeout_ms: request timeout.
+    :param target_latency_ms: latency objective, within which a response has its full value.
+    :param priority: priority among routes; 0 is the highest.
+    :param max_attempts: most searchers that may execute a request, for each shard.
+    :param services: services of which one is chosen by weight; empty for a search.
+    :param shards: the shards that a search is sent to; None for other requests.
+    :raises ValueError: when there are neither services nor shards.
     """
 
     name: Name
@@ -36,4 +36,4 @@
 
     def __post_init__(self) -> None:
         if not self.services and self.shards is None:
-            raise ValueError(f"the route {self.name} names neither services nor shards")
+            raise ValueError(f"route {self.name} has neither services nor shards")
--- a/rhubarbhinge/plans/_service.py
+++ b/rhubarbhinge/plans/_service.py
@@ -1,4 +1,4 @@
-"""A group of searchers that answer alike."""
+"""A group of equivalent searchers."""
 
 from msgspec import Struct
 
@@ -6,13 +6,13 @@
 
 
 class Service(Struct, frozen=True):
-    """A group of searchers that answer alike: all replicas of one shard, or of one record store.
+    """A group of equivalent searchers: all replicas of one shard, or of one record store.
 
     :param name: the service's name.
-    :param health_path: path of the health endpoint of its searchers.
-    :param max_connections: most connections that one searcher takes from all callers together.
-    :param warmup_ms: how long one of its searchers is cold.
-    :param warmup_per_s: requests a second that it bears meanwhile; 0 for as many as at other times.
+    :param health_path: path of the health endpoint of a searcher.
+    :param max_connections: most connections to a searcher from all callers together.
+    :param warmup_ms: duration of a searcher's warm-up.
+    :param warmup_per_s: most requests per second to a searcher during warm-up; 0 for no limit.
     """
 
     name: Name
--- a/rhubarbhinge/plans/_serving_plan.py
+++ b/rhubarbhinge/plans/_serving_plan.py
@@ -1,4 +1,4 @@
-"""One version of the configuration, as the deciding parts know it."""
+"""One version of the configuration, in the form that requests are routed by."""
 
 from collections.abc import Mapping
 from functools import cached_property
@@ -11,12 +11,12 @@
 
 
 class ServingPlan(Struct, frozen=True, dict=True):
-    """One version of the configuration; a request keeps to the plan it was read under.
+    """One version of the configuration; a request keeps the version that it arrived under.
 
-    :param version: grows with each change.
-    :param routes: all routes.
+    :param version: version number; increases with each change.
+    :param routes: the routes.
     :param services: services by name.
-    :param limits: what callers may send.
+    :param limits: the caller limits.
     """
 
     version: int
@@ -29,10 +29,10 @@
         return {(route.host, route.path_prefix): route for route in self.routes}
 
     def find(self, host: str, path: str) -> Route | None:
-        """Find the route of a request: that of its host with the longest matching prefix.
+        """Find the route of a request: the longest matching prefix among the routes of its host.
 
-        :param host: the ``Host`` header, with or without a port.
-        :param path: the path without its query.
+        :param host: value of the ``Host`` header, with or without a port.
+        :param path: the path without the query string.
         :returns: the route, or None.
         """
         name = host.partition(":")[0].lower()
--- a/rhubarbhinge/plans/_shard_set.py
+++ b/rhubarbhinge/plans/_shard_set.py
@@ -8,12 +8,12 @@
 
 
 class ShardSet(Struct, frozen=True):
-    """The shards that a search is sent to, each a service, and how its answer is put together.
+    """The shards that a search is sent to, each a service, and how their replies are merged.
 
     :param services: names of the shards.
-    :param top_k: how many of the greatest records the answer holds.
-    :param least_share: smallest share of shards, 0 to 1, that makes an answer a success.
-    :raises ValueError: when a shard is named twice.
+    :param top_k: number of greatest records in the response.
+    :param least_share: smallest share of shards, 0 to 1, for a successful response.
+    :raises ValueError: when a shard is listed twice.
     """
 
     services: Annotated[tuple[Name, ...], Meta(min_length=1)]
@@ -22,12 +22,12 @@
 
     def __post_init__(self) -> None:
         if len(set(self.services)) != len(self.services):
-            raise ValueError("a search names a shard twice")
+            raise ValueError("search lists a shard twice")
 
     def is_enough(self, parts: int) -> bool:
-        """Tell whether so many parts make an answer.
+        """Tell whether replies from this many shards suffice for a response.
 
-        :param parts: number of shards that have answered.
+        :param parts: number of shards that have replied.
         :returns: whether their share reaches ``least_share``.
         """
         return parts > 0 and parts >= self.least_share * len(self.services)
--- a/rhubarbhinge/plans/_weighted_service.py
+++ b/rhubarbhinge/plans/_weighted_service.py
@@ -1,4 +1,4 @@
-"""A service with its share of a route's requests."""
+"""A service with its weight in a route."""
 
 from typing import Annotated
 
@@ -7,14 +7,15 @@
 from rhubarbhinge.utils.bounded_types import Name
 
 MOST_WEIGHT = 1e9
-"""Greatest weight; sums of a route's weights and claims keep their fractions."""
+"""Greatest weight; sums of a route's weights and credits stay small enough to keep their fractional
+digits."""
 
 
 class WeightedService(Struct, frozen=True):
-    """A service with its share of a route's requests.
+    """A service with its weight in a route.
 
     :param name: the service's name.
-    :param weight: its share, relative to the other services of the route.
+    :param weight: share of the requests, relative to the other services of the route.
     """
 
     name: Name
--- a/rhubarbhinge/plans/tests/test_plan_change.py
+++ b/rhubarbhinge/plans/tests/test_plan_change.py
@@ -1,4 +1,4 @@
-"""Changes from one version of the configuration to another."""
+"""Computing and applying differences between versions of the configuration."""
 
 import unittest
 
@@ -35,12 +35,12 @@
 class PlanChangeTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None, database=None)
     @given(plans(3), plans(7))
-    def test_a_change_leads_from_the_one_to_just_the_other(self, base, plan):
+    def test_change_round_trip(self, base, plan):
         found = PlanChange.between(base, plan).apply(base)
         self.assertEqual(found, plan)
         self.assertEqual(found.find("a.example", "/b/x"), plan.find("a.example", "/b/x"))
 
-    def test_routes_that_stay_are_named_by_their_places(self):
+    def test_unchanged_routes_are_sent_as_ranges(self):
         routes = tuple(route(name) for name in "abcdef")
         base = ServingPlan(3, routes, {}, CallerLimits())
         changed = route("c", 2_000.0)
@@ -48,7 +48,7 @@
         found = PlanChange.between(base, plan).routes
         self.assertEqual(found, (KeptRoutes(0, 2), changed, KeptRoutes(4, 2)))
 
-    def test_a_change_of_another_version_is_not_applied(self):
+    def test_change_of_another_version_is_rejected(self):
         base = ServingPlan(3, (), {}, CallerLimits())
         change = PlanChange.between(base, ServingPlan(7, (), {}, CallerLimits()))
         with self.assertRaises(ValueError):
--- a/rhubarbhinge/plans/tests/test_serving_plan.py
+++ b/rhubarbhinge/plans/tests/test_serving_plan.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request."""
+"""Route lookup and the required share of shards."""
 
 import unittest
 
@@ -23,30 +23,30 @@
         found = self.plan.find(host, path)
         return found.name if found else None
 
-    def test_the_longest_prefix_of_the_host_is_taken(self):
+    def test_longest_matching_prefix_wins(self):
         self.assertEqual(self.found("a.example", "/x/y/z"), "long")
         self.assertEqual(self.found("a.example", "/x/z/y/"), "short")
         self.assertEqual(self.found("b.example", "/x/y/z"), "other")
 
-    def test_a_prefix_ends_at_a_slash(self):
+    def test_prefix_matches_whole_segments(self):
         self.assertEqual(self.found("a.example", "/x/yy"), "short")
         self.assertEqual(self.found("a.example", "/x/y"), "short")
         self.assertEqual(self.found("a.example", "/xx"), "root")
 
-    def test_case_and_port_of_the_host_do_not_matter(self):
+    def test_host_case_and_port_are_ignored(self):
         self.assertEqual(self.found("A.Example:8080", "/x/"), "short")
 
-    def test_no_route(self):
+    def test_no_matching_route(self):
         self.assertIsNone(self.found("c.example", "/x/"))
         self.assertIsNone(self.found("b.example", "/y"))
         self.assertIsNone(self.found("b.example", "nonsense"))
 
 
 class ShardSetTest(unittest.TestCase):
-    def test_the_least_share_is_reached_exactly(self):
+    def test_required_share_is_inclusive(self):
         shards = ShardSet(tuple(f"s{n}" for n in range(20)), 5, 0.75)
         self.assertFalse(shards.is_enough(14))
         self.assertTrue(shards.is_enough(15))
 
-    def test_no_part_is_never_enough(self):
+    def test_zero_parts_are_never_enough(self):
         self.assertFalse(ShardSet(("s0",), 5, 0.0).is_enough(0))
