--- a/rhubarbhinge/admission/__init__.py
+++ b/rhubarbhinge/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Admission: which queries are taken, and when the refused may come back."""
+"""Admission control: whether a query is accepted, and when a refused one may be retried."""
 
+from rhubarbhinge.admission._decision import Admitted, Decision, Refused
 from rhubarbhinge.admission._limiter import WINDOW_MS, Limiter
-from rhubarbhinge.admission._verdict import Admitted, Refused, Verdict
 
-__all__ = ["WINDOW_MS", "Admitted", "Limiter", "Refused", "Verdict"]
+__all__ = ["WINDOW_MS", "Admitted", "Decision", "Limiter", "Refused"]
--- a/rhubarbhinge/admission/_verdict.py
+++ b/rhubarbhinge/admission/_decision.py
@@ -1,21 +1,21 @@
-"""Whether a query is taken."""
+"""Decisions of admission control."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The query is taken."""
+    """The query is admitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
     """The query is refused and was not run.
 
-    :param retry_after_ms: when to come back.
+    :param retry_after_ms: time after which the caller may retry.
     """
 
     retry_after_ms: float
 
 
-Verdict = Admitted | Refused
+Decision = Admitted | Refused
