--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -1,7 +1,8 @@
-"""Asking an entry of another failure domain to search the shards near it.
+"""Delegation of shard searches to entries in other failure domains.
 
-One reply with the merged records of several shards crosses between the domains in place of one
-reply for each shard, and a searcher has fewer callers, which know more of its load.
+The delegate searches the shards near it and returns one reply with their merged records, so that
+one reply crosses between the domains instead of one per shard. It also means that each searcher has
+fewer callers, each of which knows more about its load.
 """
 
 from rhubarbhinge.delegation._delegates import ANSWER_MARGIN_MS, Delegate, Delegates
--- a/rhubarbhinge/delegation/_delegates.py
+++ b/rhubarbhinge/delegation/_delegates.py
@@ -1,4 +1,4 @@
-"""Asks to entries of other failure domains."""
+"""Client side of delegation: requests to entries of other failure domains."""
 
 import itertools
 import random
@@ -26,33 +26,34 @@
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import Subscription, TimerService
 
-TAKEN_MS = 30.0
-"""An ask that has not been taken by then is lost; taking one needs a round trip of 2 to 3 ms."""
+ACCEPT_TIMEOUT_MS = 30.0
+"""Timeout for the acceptance of a request, which takes a round trip of 2 to 3 ms."""
 ANSWER_MARGIN_MS = 6.0
-"""Another entry is to answer so much sooner than its answer is needed, which may cross the domains
-and takes both some processor time."""
+"""A delegate is asked to reply this much before its reply is needed, to allow for the transfer
+between the domains and for processing time at both ends."""
 CONNECT_TIMEOUT_MS = 350.0
-"""Longest wait for a connection to an entry, the same as to a searcher."""
-BAD_MS = 1_500.0
-"""An entry that failed is not asked for so long; a restart takes about a second."""
+"""Timeout for connecting to an entry, the same as to a searcher."""
+FAILURE_BACKOFF_MS = 1_500.0
+"""An entry that failed gets no requests for this long; a restart takes about a second."""
 
 LINKS_PER_DOMAIN = 6
-"""Entries of a failure domain that this one asks: as many as 90 shards are split among, and one to
-spare. Each entry asks others, so that the load is even; the links don't grow with the fleet."""
-SILENT_MS = 25.0
-"""An entry that has taken an ask says what there is when it is due. One that says nothing for so
-long after that is held up, and its shards are asked otherwise. Twice the usual lag of a busy entry,
-and a round trip."""
-SILENCES = (CloseReason.SILENT, CloseReason.CONNECT_TIMEOUT)
-"""How links to hosts end that can't be reached; a process that ended shows otherwise."""
+"""Entries of a failure domain that this one sends requests to: the number that 90 shards are split
+among, plus one spare. Different entries use different ones, which balances the load, and the
+number of links does not grow with the fleet."""
+REPLY_GRACE_MS = 25.0
+"""A delegate that has accepted a request replies with its results so far when the reply is due. If
+it has not replied this long after, it is stalled and its shards are searched in another way. Twice
+the usual lag of a busy entry, plus a round trip."""
+UNREACHABLE_REASONS = (CloseReason.SILENT, CloseReason.CONNECT_TIMEOUT)
+"""Close reasons of links to unreachable hosts; a process that exits closes its links otherwise."""
 
-OnAnswer = Callable[[Answer | None], None]
-"""Told each answer, the last of them without pending shards; or None when the entry failed and the
-shards that are left have to be asked otherwise."""
+OnReply = Callable[[Answer | None], None]
+"""Called with each reply, of which the last has no pending shards; or with None when the delegate
+failed and the remaining shards have to be searched in another way."""
 
 
 class _Link(Struct, eq=False):
-    """State of one link."""
+    """State of a link."""
 
     ip: str
     failure_domain: str
@@ -60,13 +61,13 @@
     is_open: bool = False
 
 
-class _Asking(Struct, eq=False):
-    """State of one ask."""
+class _Call(Struct, eq=False):
+    """State of a request."""
 
     link: int
     ip: str
     request_id: str
-    on_answer: OnAnswer
+    on_reply: OnReply
     grant: GrantAttempts
     timer: Subscription
     sent_ms: float
@@ -75,10 +76,10 @@
 
 
 class Delegate:
-    """Handle of an ask under way.
+    """Handle of a request in progress.
 
-    :param delegates: who asks.
-    :param number: the ask.
+    :param delegates: the client.
+    :param number: the request's number.
     """
 
     __slots__ = ("_delegates", "_number")
@@ -88,11 +89,11 @@
         self._number = number
 
     def cancel(self) -> None:
-        """Give the ask up; the other entry stops its searchers."""
+        """Cancel the request; the delegate cancels its attempts at searchers."""
         self._delegates.cancel(self._number)
 
     def grant(self, services: tuple[str, ...]) -> None:
-        """Let shards go to one more searcher.
+        """Allow one more attempt at each of some shards.
 
         :param services: the shards.
         """
@@ -100,13 +101,13 @@
 
 
 class Delegates(BaseComponent):
-    """Asks entries of other failure domains, one link to each.
+    """Sends search requests to entries of other failure domains, over one link to each.
 
     :param timers: the timer service.
-    :param membership: which entries there are; told of those that answer.
-    :param port: where all entries take asks.
-    :param rng: spreads the choice.
-    :param reach: told which failure domains are heard from, and which entries can't be reached.
+    :param membership: the other entries; is informed of those that respond.
+    :param port: port on which entries accept requests.
+    :param rng: randomizes the choice of entries.
+    :param reach: is informed of responding failure domains and of unreachable entries.
     """
 
     channel = "delegates"
@@ -128,23 +129,23 @@
         self._numbers = itertools.count(1)
         self._by_link: dict[int, _Link] = {}
         self._by_ip: dict[str, int] = {}
-        self._asking: dict[int, _Asking] = {}
-        self._bad_until_ms: dict[str, float] = {}
+        self._calls: dict[int, _Call] = {}
+        self._backoff_until_ms: dict[str, float] = {}
         self._links = Links(
             self._opened, self._received, self._closed, notice_silence=True
         ).register(self)
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of asks since the start."""
+        """Bytes of requests sent since the start."""
         return self._links.sent_bytes
 
     def choose(self, failure_domain: str, count: int) -> list[str]:
-        """Choose entries of a failure domain, and make links to more of them ready.
+        """Choose connected entries of a failure domain, and open missing links to others.
 
         :param failure_domain: the failure domain.
-        :param count: how many at most.
-        :returns: their IP addresses; fewer or none when there are not enough to ask.
+        :param count: greatest number of entries.
+        :returns: their IP addresses; fewer than ``count``, or none, if not enough are connected.
         """
         if count <= 0:
             return []
@@ -152,68 +153,68 @@
         return self._rng.sample(ready, min(count, len(ready)))
 
     def prepare(self, failure_domain: str) -> list[str]:
-        """Open the links to entries of a failure domain, so that the first search finds them open.
+        """Open the links to entries of a failure domain in advance of the first search.
 
         :param failure_domain: the failure domain.
-        :returns: the IP addresses of all entries there that this one asks.
+        :returns: the IP addresses of the entries in that domain that this one sends requests to.
         """
         now_ms = self._timers.now_ms()
-        sound = [
+        healthy = [
             member
             for member in self._membership.live(failure_domain)
-            if self._bad_until_ms.get(member.ip, 0.0) <= now_ms
+            if self._backoff_until_ms.get(member.ip, 0.0) <= now_ms
         ]
-        found = [member.ip for member in sorted(sound, key=self._rank)[:LINKS_PER_DOMAIN]]
-        for ip in found:
+        addresses = [member.ip for member in sorted(healthy, key=self._rank)[:LINKS_PER_DOMAIN]]
+        for ip in addresses:
             if ip not in self._by_ip:
                 self._open(ip, failure_domain)
-        return found
+        return addresses
 
-    def ask(self, ip: str, ask: Ask, on_answer: OnAnswer, grant: GrantAttempts) -> Delegate:
-        """Ask an entry.
+    def ask(self, ip: str, request: Ask, on_reply: OnReply, grant: GrantAttempts) -> Delegate:
+        """Send a request to an entry.
 
-        :param ip: its IP address, as :meth:`choose` gave it.
-        :param ask: what is asked; its number is set here.
-        :param on_answer: told what comes of it, later.
-        :param grant: decides on shards that the entry wants to send to one more searcher.
-        :returns: the handle to cancel it by.
+        :param ip: its IP address, as returned by :meth:`choose`.
+        :param request: the request; its number is assigned here.
+        :param on_reply: called with the results, not before this method returns.
+        :param grant: decides on further attempts that the delegate asks for.
+        :returns: a handle to cancel the request.
         """
         number = next(self._numbers)
         link = self._by_ip[ip]
-        timer = self._timers.after(TAKEN_MS, lambda: self._overdue(number, "not-taken"))
+        timer = self._timers.after(ACCEPT_TIMEOUT_MS, lambda: self._on_timeout(number, "not-taken"))
         now_ms = self._timers.now_ms()
-        due_ms = now_ms + ask.answer_in_ms + SILENT_MS
-        self._asking[number] = _Asking(
-            link, ip, ask.request_id, on_answer, grant, timer, now_ms, due_ms
+        due_ms = now_ms + request.answer_in_ms + REPLY_GRACE_MS
+        self._calls[number] = _Call(
+            link, ip, request.request_id, on_reply, grant, timer, now_ms, due_ms
         )
-        self._send(link, replace(ask, number=number))
-        # Now, and not after connections to searchers of this entry's own part are opened, which
-        # takes most of the time within which the ask is to be taken.
+        self._send(link, replace(request, number=number))
+        # Flushed before connections to the searchers of this entry's own shards are opened, which
+        # would take up most of the time within which the request has to be accepted.
         self._links.flush(link)
         return Delegate(self, number)
 
     def cancel(self, number: int) -> None:
-        """Give an ask up.
+        """Cancel a request.
 
-        :param number: the ask.
+        :param number: the request's number.
         """
-        asking = self._asking.pop(number, None)
-        if asking is not None:
-            asking.timer.cancel()
-            self._send(asking.link, Cancel(number))
+        call = self._calls.pop(number, None)
+        if call is not None:
+            call.timer.cancel()
+            self._send(call.link, Cancel(number))
 
     def grant(self, number: int, services: tuple[str, ...]) -> None:
-        """Let shards of an ask go to one more searcher.
+        """Allow one more attempt at each of some shards of a request.
 
-        :param number: the ask.
+        :param number: the request's number.
         :param services: the shards.
         """
-        asking = self._asking.get(number)
-        if asking is not None:
-            self._send(asking.link, Leave(number, services))
+        call = self._calls.get(number)
+        if call is not None:
+            self._send(call.link, Leave(number, services))
 
     def _rank(self, member: Member) -> int:
-        """Order entries differently for each entry that asks."""
+        """Return a sort key that differs between requesting entries."""
         return zlib.crc32(f"{self._membership.me.name} {member.name}".encode())
 
     def _is_open(self, ip: str) -> bool:
@@ -229,89 +230,89 @@
         self._by_link[link].is_open = True
 
     def _received(self, link: int, data: bytes) -> None:
-        found = self._by_link.get(link)
-        if found is None:
+        state = self._by_link.get(link)
+        if state is None:
             return
-        self._reach.on_heard(found.failure_domain)
-        self._membership.on_work(found.failure_domain)
+        self._reach.on_heard(state.failure_domain)
+        self._membership.on_work(state.failure_domain)
         try:
-            for message in found.codec.feed(data):
-                self._take(message)
+            for message in state.codec.feed(data):
+                self._on_message(message)
         except FrameError as error:
-            log_event("delegate-link-refused", level="error", ip=found.ip, code=error.code)
+            log_event("delegate-link-refused", level="error", ip=state.ip, code=error.code)
             self._links.abort(link)
 
     def _send(self, link: int, message: Message) -> None:
-        found = self._by_link.get(link)
-        if found is not None:
-            self._links.send(link, found.codec.encode(message))
+        state = self._by_link.get(link)
+        if state is not None:
+            self._links.send(link, state.codec.encode(message))
 
-    def _take(self, message: object) -> None:
-        asking = self._asking.get(getattr(message, "number", 0))
-        if asking is None:
+    def _on_message(self, message: object) -> None:
+        call = self._calls.get(getattr(message, "number", 0))
+        if call is None:
             return
-        asking.timer.cancel()
+        call.timer.cancel()
         if isinstance(message, Answer):
-            asking.answered = True
+            call.answered = True
             if not message.pending:
-                del self._asking[message.number]
-            asking.on_answer(message)
+                del self._calls[message.number]
+            call.on_reply(message)
         elif isinstance(message, LeaveWanted):
             news = FarNews(message.ended, message.replied)
-            granted = asking.grant(message.services, news)
+            granted = call.grant(message.services, news)
             if granted:
-                self._send(asking.link, Leave(message.number, granted))
+                self._send(call.link, Leave(message.number, granted))
         elif not isinstance(message, Taken):
-            raise FrameError("malformed", "entries that are asked answer only")
-        if not asking.answered:
-            left_ms = asking.due_ms - self._timers.now_ms()
+            raise FrameError("malformed", "unexpected message from a delegate")
+        if not call.answered:
+            left_ms = call.due_ms - self._timers.now_ms()
             number = message.number
-            asking.timer = self._timers.after(left_ms, lambda: self._overdue(number, "silent"))
+            call.timer = self._timers.after(left_ms, lambda: self._on_timeout(number, "silent"))
 
-    def _overdue(self, number: int, code: str) -> None:
-        """Read what has come before an ask is given up.
+    def _on_timeout(self, number: int, code: str) -> None:
+        """Process pending input before a request times out.
 
-        Due timers run first in a turn of the loop: after a long one, as when connections to all
-        searchers of a part are opened, what is waited for may have come and not been read.
+        Due timers run first in an iteration of the event loop. After a long iteration, such as one
+        that opens connections to many searchers, the awaited message may have arrived unread.
         """
-        asking = self._asking.get(number)
-        if asking is not None:
-            asking.timer = self._timers.after(0, lambda: self._silent(number, code))
+        call = self._calls.get(number)
+        if call is not None:
+            call.timer = self._timers.after(0, lambda: self._time_out(number, code))
 
-    def _silent(self, number: int, code: str) -> None:
-        asking = self._asking.get(number)
-        if asking is None:
+    def _time_out(self, number: int, code: str) -> None:
+        call = self._calls.get(number)
+        if call is None:
             return
-        self._send(asking.link, Cancel(number))
+        self._send(call.link, Cancel(number))
         self._fail(number, code)
 
     def _closed(self, link: int, reason: CloseReason) -> None:
-        found = self._by_link.pop(link)
-        if self._by_ip.get(found.ip) == link:
-            del self._by_ip[found.ip]
-        self._bad(found.ip)
-        if reason in SILENCES:
-            self._reach.on_unreachable(found.failure_domain, found.ip)
-        for number in [n for n, asking in self._asking.items() if asking.link == link]:
+        state = self._by_link.pop(link)
+        if self._by_ip.get(state.ip) == link:
+            del self._by_ip[state.ip]
+        self._back_off(state.ip)
+        if reason in UNREACHABLE_REASONS:
+            self._reach.on_unreachable(state.failure_domain, state.ip)
+        for number in [n for n, call in self._calls.items() if call.link == link]:
             self._fail(number, reason.value)
 
     def _fail(self, number: int, code: str) -> None:
-        asking = self._asking.pop(number, None)
-        if asking is None:
-            # The search that one ask belonged to has failed with another one, and cancelled it.
+        call = self._calls.pop(number, None)
+        if call is None:
+            # The failure of one request made the search cancel its other requests.
             return
-        asking.timer.cancel()
-        self._bad(asking.ip)
+        call.timer.cancel()
+        self._back_off(call.ip)
         log_event(
             "delegate-failed",
             level="warning",
-            request=asking.request_id,
-            ip=asking.ip,
+            request=call.request_id,
+            ip=call.ip,
             code=code,
-            after_ms=round(self._timers.now_ms() - asking.sent_ms, 1),
-            unsent_bytes=self._links.unsent_bytes(asking.link),
+            after_ms=round(self._timers.now_ms() - call.sent_ms, 1),
+            unsent_bytes=self._links.unsent_bytes(call.link),
         )
-        asking.on_answer(None)
+        call.on_reply(None)
 
-    def _bad(self, ip: str) -> None:
-        self._bad_until_ms[ip] = self._timers.now_ms() + BAD_MS
+    def _back_off(self, ip: str) -> None:
+        self._backoff_until_ms[ip] = self._timers.now_ms() + FAILURE_BACKOFF_MS
--- a/rhubarbhinge/delegation/_far_sends.py
+++ b/rhubarbhinge/delegation/_far_sends.py
@@ -1,4 +1,4 @@
-"""Sends of single shards to searchers of other failure domains, by an entry there."""
+"""Attempts at searchers of other failure domains that are made by a delegate there."""
 
 import itertools
 from collections.abc import Callable
@@ -21,19 +21,20 @@
 
 
 class FarSends:
-    """Sends shards to searchers of other failure domains by an entry near them.
+    """Sends single-shard requests to searchers of other failure domains via an entry near them.
 
-    The entry sends it to the searcher that was chosen here and to no other, so that no searcher
-    gets a request twice: a faulty one's double reply to the first could be taken for the second.
+    The delegate sends the request only to the searcher chosen here, so that no searcher gets a
+    request twice: if a faulty one replied twice to the first, the second reply could be mistaken
+    for that to the second request.
 
-    Most of these are hedges. By the compressed link between two entries one takes some 300 bytes
-    between the domains; a request and a reply of its own take 630. Without an entry to ask, and for
-    requests that are no part of a search, it is sent directly.
+    Most of these requests are hedges. Over the compressed link between two entries, one takes
+    some 300 bytes between the domains; a separate request and reply take 630. Requests that are
+    not part of a search, and those for which no entry is available, are sent directly.
 
     :param timers: the timer service.
-    :param delegates: asks other entries.
-    :param failure_domain: that of this entry.
-    :param direct: sends to any searcher.
+    :param delegates: sends requests to other entries.
+    :param failure_domain: failure domain of this entry.
+    :param direct: sends to a searcher directly.
     """
 
     def __init__(
@@ -46,30 +47,32 @@
         self._timers = timers
         self._delegates = delegates
         self._failure_domain = failure_domain
-        self._direct = direct
-        # Below 0, so that they differ from those of direct attempts at the same searcher.
+        self._send_directly = direct
+        # Negative, to differ from the numbers of direct attempts at the same searcher.
         self._numbers = itertools.count(-1, -1)
 
-    def send(self, exchange: Exchange, tell: Callable[[Outcome], None]) -> Attempt:
-        """Start an exchange.
+    def send(self, exchange: Exchange, on_outcome: Callable[[Outcome], None]) -> Attempt:
+        """Start an attempt.
 
-        :param exchange: what is asked of whom.
-        :param tell: told the outcome, once and later.
-        :returns: the handle to cancel it by.
+        :param exchange: the request and its searcher.
+        :param on_outcome: called once with the outcome, not before this method returns.
+        :returns: a handle to cancel the attempt.
         """
         domain = exchange.searcher.searcher.failure_domain
         if exchange.search is None or domain == self._failure_domain:
-            return self._direct(exchange, tell)
+            return self._send_directly(exchange, on_outcome)
         addresses = self._delegates.choose(domain, 1)
         if not addresses:
-            return self._direct(exchange, tell)
-        attempt = _AskedAttempt(self._timers, next(self._numbers), exchange, tell)
-        ask = _ask(exchange, self._timers.now_ms())
-        attempt.ask = self._delegates.ask(addresses[0], ask, attempt.take, attempt.grant_nothing)
+            return self._send_directly(exchange, on_outcome)
+        attempt = _DelegatedAttempt(self._timers, next(self._numbers), exchange, on_outcome)
+        request = _request_for(exchange, self._timers.now_ms())
+        attempt.call = self._delegates.ask(
+            addresses[0], request, attempt.on_reply, attempt.deny_attempts
+        )
         return attempt
 
 
-def _ask(exchange: Exchange, now_ms: float) -> Ask:
+def _request_for(exchange: Exchange, now_ms: float) -> Ask:
     left_ms = max(0.0, exchange.deadline_ms - now_ms)
     answer_in_ms = exchange.due_ms - now_ms - ANSWER_MARGIN_MS
     request = exchange.request
@@ -84,7 +87,7 @@
         priority=exchange.priority,
         max_attempts=1,
         target_latency_ms=exchange.search.target_latency_ms,
-        # What is late already is answered once it is there.
+        # If the reply is overdue already, it is sent as soon as it is complete.
         answer_in_ms=answer_in_ms if answer_in_ms > 0 else left_ms,
         left_ms=left_ms,
         searcher=exchange.searcher.searcher.incarnation,
@@ -92,25 +95,25 @@
     )
 
 
-class _AskedAttempt:
-    """One attempt that another entry makes.
+class _DelegatedAttempt:
+    """An attempt made by another entry.
 
     :param timers: the timer service.
-    :param number: identifies it at the searcher.
-    :param exchange: what is asked of whom.
-    :param tell: told the outcome.
-    :ivar ask: the ask under way.
+    :param number: identifies the attempt at the searcher.
+    :param exchange: the request and its searcher.
+    :param on_outcome: called with the outcome.
+    :ivar call: the delegated request in progress.
     """
 
     __slots__ = (
         "_timers",
         "_number",
         "_exchange",
-        "_tell",
+        "_on_outcome",
         "_sent_ms",
-        "_over",
+        "_finished",
         "_searcher_ended",
-        "ask",
+        "call",
     )
 
     sent = True
@@ -120,74 +123,74 @@
         timers: TimerService,
         number: int,
         exchange: Exchange,
-        tell: Callable[[Outcome], None],
+        on_outcome: Callable[[Outcome], None],
     ):
         self._timers = timers
         self._number = number
         self._exchange = exchange
-        self._tell = tell
+        self._on_outcome = on_outcome
         self._sent_ms = timers.now_ms()
-        self._over = False
+        self._finished = False
         self._searcher_ended = False
-        self.ask: Delegate | None = None
+        self.call: Delegate | None = None
         exchange.searcher.on_sent(number, self._sent_ms)
         exchange.searcher.on_written(number, self._sent_ms)
 
     def cancel(self) -> None:
-        """Give the attempt up."""
-        if self._over:
+        """Cancel the attempt."""
+        if self._finished:
             return
-        self._over = True
-        self.ask.cancel()
+        self._finished = True
+        self.call.cancel()
         now_ms = self._timers.now_ms()
         waited_ms = now_ms - self._sent_ms
         typical_ms = self._exchange.delays.quantile(0.5)
         self._exchange.searcher.on_cancelled(self._number, waited_ms, typical_ms, now_ms)
 
-    def grant_nothing(self, services: tuple[str, ...], news: FarNews) -> tuple[str, ...]:
-        """Agree to no second attempt of the other entry, as this one is the call's own.
+    def deny_attempts(self, services: tuple[str, ...], news: FarNews) -> tuple[str, ...]:
+        """Grant no further attempts, as this object stands for a single one.
 
-        :param services: shards for which it wants one.
-        :param news: how its attempt fares.
-        :returns: none of them.
+        :param services: shards for which the delegate asks for an attempt.
+        :param news: progress of its attempt.
+        :returns: no shards.
         """
         self._searcher_ended = self._searcher_ended or bool(news.ended)
         return ()
 
-    def take(self, answer: Answer | None) -> None:
-        """Take what the other entry says.
+    def on_reply(self, reply: Answer | None) -> None:
+        """Handle a reply of the delegate.
 
-        :param answer: its answer; None when it failed.
+        :param reply: the reply; None if the delegate failed.
         """
-        if self._over or (answer is not None and answer.pending):
+        if self._finished or (reply is not None and reply.pending):
             return
-        self._over = True
-        self._tell(self._outcome(answer))
+        self._finished = True
+        self._on_outcome(self._outcome(reply))
 
-    def _outcome(self, answer: Answer | None) -> Outcome:
+    def _outcome(self, reply: Answer | None) -> Outcome:
         exchange, now_ms = self._exchange, self._timers.now_ms()
         searcher, service = exchange.searcher, exchange.searcher.searcher.service
-        if answer is not None and answer.services == (service,):
+        if reply is not None and reply.services == (service,):
             delay_ms = now_ms - self._sent_ms
             searcher.on_reply(self._number, delay_ms, exchange.delays.quantile(0.5), now_ms)
-            return Replied(_reply(exchange.request.id, answer), delay_ms)
-        if answer is not None and answer.untried == (service,):
+            return Replied(_searcher_reply(exchange.request.id, reply), delay_ms)
+        if reply is not None and reply.untried == (service,):
             searcher.on_withdrawn(self._number)
             return NotRun(Why.UNREACHABLE)
-        if answer is not None and not answer.may_have_run:
+        if reply is not None and not reply.may_have_run:
             searcher.on_refused(self._number, now_ms)
             return NotRun(Why.NO_ROOM)
         searcher.on_withdrawn(self._number)
         return Lost(Why.BROKEN, self._searcher_ended)
 
 
-def _reply(request_id: str, answer: Answer) -> SearcherReply:
+def _searcher_reply(request_id: str, reply: Answer) -> SearcherReply:
     return SearcherReply(
         status=200,
         headers=(),
-        body=answer.body,
+        body=reply.body,
         request_id=request_id,
-        signature=answer.signatures[0],
+        signature=reply.signatures[0],
         not_run=False,
         wrong_searcher=False,
         keep_alive_ms=None,
--- a/rhubarbhinge/delegation/_messages.py
+++ b/rhubarbhinge/delegation/_messages.py
@@ -1,4 +1,4 @@
-"""What entries say to each other about parts of searches."""
+"""Messages between entries about delegated searches, and their encoding."""
 
 import msgspec
 from msgspec import Struct
@@ -8,30 +8,31 @@
 from rhubarbhinge.utils.bounded_types import Count, FieldValue, Milliseconds, Rank
 from rhubarbhinge.utils.strict_json import json_reader
 
-ASK, TAKEN, ANSWER, CANCEL, LEAVE_WANTED, LEAVE = range(6)
-"""Kinds of messages on the wire; short, as each byte between failure domains is paid for."""
+REQUEST, ACCEPTED, REPLY, CANCEL, ATTEMPT_REQUEST, ATTEMPT_GRANT = range(6)
+"""Message types on the wire; numbers, as traffic between failure domains is expensive."""
 HEAD_LENGTH_BYTES = 4
-"""Bytes of the length of a message's head; the body follows the head."""
+"""Size of the length prefix of a message's head, which the body follows."""
 
 
 class Ask(Struct, frozen=True):
-    """Search some shards.
+    """Request to search some shards.
 
-    :param number: identifies the ask on its link.
+    :param number: identifies this request on its link.
     :param request_id: id of the caller's request.
-    :param head: request line and headers that are passed on.
+    :param head: request line and headers of the caller's request.
     :param body: its body.
-    :param route: name of the route, by which delays are told apart.
+    :param route: name of the route, for which delays are tracked separately.
     :param services: the shards.
-    :param top_k: most records in the answer.
-    :param priority: rank of the request.
-    :param max_attempts: most searchers of each shard that may execute it.
+    :param top_k: most records in the reply.
+    :param priority: priority of the request.
+    :param max_attempts: most searchers of each shard that may execute the request.
     :param target_latency_ms: the route's latency objective.
-    :param answer_in_ms: answer with what there is after so long.
-    :param left_ms: time until the caller stops waiting.
-    :param searcher: incarnation of the only searcher that may get it, in one attempt that the entry
-        that asks has counted in the retry budget; empty for any searchers of the shards.
-    :param searcher_started_unix_ms: the only start of that searcher that may get it; None for any.
+    :param answer_in_ms: time after which to reply with the results so far.
+    :param left_ms: time until the caller's deadline.
+    :param searcher: incarnation of the only searcher that may get the request, in a single attempt
+        that the requesting entry has counted in its retry budget; empty for any searcher.
+    :param searcher_started_unix_ms: start time of that searcher, as no later process of the same
+        incarnation may get the request; None for any start time.
     """
 
     number: int
@@ -51,24 +52,24 @@
 
 
 class Taken(Struct, frozen=True):
-    """An ask has come and is being worked on.
+    """A request was received and is being processed.
 
-    :param number: the ask.
+    :param number: number of the request.
     """
 
     number: int
 
 
 class Answer(Struct, frozen=True):
-    """What came of an ask, or of the part of it that was told of before as pending.
+    """Results of a request, or of the shards that an earlier reply listed as pending.
 
-    :param number: the ask.
+    :param number: number of the request.
     :param services: shards whose records are in the body.
-    :param signatures: the signatures of their replies, in the same order.
-    :param untried: shards for which nothing arrived at a searcher.
-    :param pending: shards that are still being searched; further answers tell of them.
+    :param signatures: signatures of their replies, in the same order.
+    :param untried: shards of which no searcher received the request.
+    :param pending: shards still being searched, which further replies cover.
     :param may_have_run: whether any searcher has executed the request.
-    :param body: the greatest records of these shards, greatest first.
+    :param body: the greatest records of these shards, in descending order.
     """
 
     number: int
@@ -81,20 +82,20 @@
 
 
 class Cancel(Struct, frozen=True):
-    """Stop working on an ask.
+    """Cancels a request.
 
-    :param number: the ask.
+    :param number: number of the request.
     """
 
     number: int
 
 
 class LeaveWanted(Struct, frozen=True):
-    """Shards of an ask that are to be sent to one more searcher, beyond the first.
+    """Asks for a further attempt at some shards, and reports on earlier attempts.
 
-    :param number: the ask.
-    :param services: the shards; none where only the rest is told.
-    :param ended: searchers that ended while they had the request.
+    :param number: number of the request.
+    :param services: the shards; empty for a report only.
+    :param ended: searchers whose process ended while they had the request.
     :param replied: whether any searcher has executed the request and replied.
     """
 
@@ -105,9 +106,9 @@
 
 
 class Leave(Struct, frozen=True):
-    """Shards that may be sent to one more searcher.
+    """Allows one more attempt at each of some shards.
 
-    :param number: the ask.
+    :param number: number of the request.
     :param services: the shards.
     """
 
@@ -118,8 +119,8 @@
 Message = Ask | Taken | Answer | Cancel | LeaveWanted | Leave
 
 
-class _SentAsk(msgspec.Struct, frozen=True, array_like=True, tag=ASK):
-    """The head of an ask; its body is the request's head and body."""
+class _WireRequest(msgspec.Struct, frozen=True, array_like=True, tag=REQUEST):
+    """Head of a request; the body is the head and body of the caller's request."""
 
     number: Count
     request_id: str
@@ -136,8 +137,8 @@
     searcher_started_unix_ms: Count | None = None
 
 
-class _SentAnswer(msgspec.Struct, frozen=True, array_like=True, tag=ANSWER):
-    """The head of an answer; earlier releases leave out ``pending``, as they tell all at once."""
+class _WireReply(msgspec.Struct, frozen=True, array_like=True, tag=REPLY):
+    """Head of a reply; earlier releases omit ``pending``, as they send a single reply."""
 
     number: Count
     services: tuple[str, ...]
@@ -147,16 +148,16 @@
     pending: tuple[str, ...] = ()
 
 
-class _SentTaken(msgspec.Struct, frozen=True, array_like=True, tag=TAKEN):
+class _WireAccepted(msgspec.Struct, frozen=True, array_like=True, tag=ACCEPTED):
     number: Count
 
 
-class _SentCancel(msgspec.Struct, frozen=True, array_like=True, tag=CANCEL):
+class _WireCancel(msgspec.Struct, frozen=True, array_like=True, tag=CANCEL):
     number: Count
 
 
-class _SentLeaveWanted(msgspec.Struct, frozen=True, array_like=True, tag=LEAVE_WANTED):
-    """Earlier releases leave out what follows the services, and pass over it."""
+class _WireAttemptRequest(msgspec.Struct, frozen=True, array_like=True, tag=ATTEMPT_REQUEST):
+    """Earlier releases omit the fields after ``services``, and ignore them."""
 
     number: Count
     services: tuple[str, ...]
@@ -164,13 +165,20 @@
     replied: bool = False
 
 
-class _SentLeave(msgspec.Struct, frozen=True, array_like=True, tag=LEAVE):
+class _WireAttemptGrant(msgspec.Struct, frozen=True, array_like=True, tag=ATTEMPT_GRANT):
     number: Count
     services: tuple[str, ...]
 
 
-_Sent = _SentAsk | _SentAnswer | _SentTaken | _SentCancel | _SentLeaveWanted | _SentLeave
-_read_head = json_reader(_Sent)
+_Wire = (
+    _WireRequest
+    | _WireReply
+    | _WireAccepted
+    | _WireCancel
+    | _WireAttemptRequest
+    | _WireAttemptGrant
+)
+_decode_head = json_reader(_Wire)
 
 
 def encode_message(message: Message) -> bytes:
@@ -184,7 +192,7 @@
         body = message.head + message.body
     elif isinstance(message, Answer):
         body = message.body
-    head = msgspec.json.encode(_sent(message))
+    head = msgspec.json.encode(_to_wire(message))
     return len(head).to_bytes(HEAD_LENGTH_BYTES, "little") + head + body
 
 
@@ -193,19 +201,19 @@
 
     :param data: the payload of a frame.
     :returns: the message.
-    :raises FrameError: with code ``malformed``, when it is none.
+    :raises FrameError: with code ``malformed``, when the payload is not a valid message.
     """
     end = HEAD_LENGTH_BYTES + int.from_bytes(data[:HEAD_LENGTH_BYTES], "little")
     try:
-        return _message(_read_head(data[HEAD_LENGTH_BYTES:end]), data[end:])
+        return _from_wire(_decode_head(data[HEAD_LENGTH_BYTES:end]), data[end:])
     except ValueError as error:
-        raise FrameError("malformed", f"no message between entries: {error}") from error
+        raise FrameError("malformed", f"invalid message between entries: {error}") from error
 
 
-def _sent(message: Message) -> _Sent:
-    """Give a message's head the form in which it is sent."""
+def _to_wire(message: Message) -> _Wire:
+    """Convert the head of a message to its wire form."""
     if isinstance(message, Ask):
-        return _SentAsk(
+        return _WireRequest(
             message.number,
             message.request_id,
             len(message.head),
@@ -221,7 +229,7 @@
             message.searcher_started_unix_ms,
         )
     if isinstance(message, Answer):
-        return _SentAnswer(
+        return _WireReply(
             message.number,
             message.services,
             message.signatures,
@@ -231,15 +239,15 @@
         )
     if isinstance(message, LeaveWanted):
         ended = tuple((one.service, one.mark) for one in message.ended)
-        return _SentLeaveWanted(message.number, message.services, ended, message.replied)
+        return _WireAttemptRequest(message.number, message.services, ended, message.replied)
     if isinstance(message, Leave):
-        return _SentLeave(message.number, message.services)
-    sent = _SentTaken if isinstance(message, Taken) else _SentCancel
+        return _WireAttemptGrant(message.number, message.services)
+    sent = _WireAccepted if isinstance(message, Taken) else _WireCancel
     return sent(message.number)
 
 
-def _message(sent: _Sent, body: bytes) -> Message:
-    if isinstance(sent, _SentAsk):
+def _from_wire(sent: _Wire, body: bytes) -> Message:
+    if isinstance(sent, _WireRequest):
         return Ask(
             sent.number,
             sent.request_id,
@@ -256,9 +264,9 @@
             sent.searcher,
             sent.searcher_started_unix_ms,
         )
-    if isinstance(sent, _SentAnswer):
+    if isinstance(sent, _WireReply):
         if len(sent.services) != len(sent.signatures):
-            raise ValueError("a signature for each shard is needed")
+            raise ValueError("number of signatures differs from that of shards")
         return Answer(
             sent.number,
             sent.services,
@@ -268,9 +276,9 @@
             sent.may_have_run,
             body,
         )
-    if isinstance(sent, _SentLeaveWanted):
+    if isinstance(sent, _WireAttemptRequest):
         ended = tuple(EndedSearcher(service, mark) for service, mark in sent.ended)
         return LeaveWanted(sent.number, sent.services, ended, sent.replied)
-    if isinstance(sent, _SentLeave):
+    if isinstance(sent, _WireAttemptGrant):
         return Leave(sent.number, sent.services)
-    return Taken(sent.number) if isinstance(sent, _SentTaken) else Cancel(sent.number)
+    return Taken(sent.number) if isinstance(sent, _WireAccepted) else Cancel(sent.number)
--- a/rhubarbhinge/delegation/_serving.py
+++ b/rhubarbhinge/delegation/_serving.py
@@ -1,4 +1,4 @@
-"""Asks of entries of other failure domains."""
+"""Server side of delegation: searches on behalf of other entries."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,6 @@
 from msgspec import Struct, field
 from msgspec.structs import replace
 
-from rhubarbhinge.delegation._attempt_leave import AttemptLeave
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
     Answer,
@@ -16,6 +15,7 @@
     LeaveWanted,
     Taken,
 )
+from rhubarbhinge.delegation._remote_attempt_control import RemoteAttemptControl
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import CallerRequest, CallTerms, SearcherReply, Story, Surroundings
 from rhubarbhinge.gather import FarNews, ShardCalls, ShardEnd, merge_greatest
@@ -24,25 +24,25 @@
 from rhubarbhinge.timing import Subscription, TimerService
 
 TermsOf = Callable[[Ask, Delays], CallTerms]
-"""Gives what is granted to the calls of an ask."""
+"""Returns the terms of the calls for a request."""
 
 
 class _Link(Struct, eq=False):
-    """State of one link."""
+    """State of a link."""
 
     codec: LinkCodec = field(default_factory=LinkCodec)
-    searches: dict[int, "_Search"] = field(default_factory=dict)
+    searches: dict[int, "_DelegatedSearch"] = field(default_factory=dict)
 
 
 class AskServer(BaseComponent):
-    """Searches shards for entries of other failure domains.
+    """Searches shards on behalf of entries in other failure domains.
 
     :param timers: the timer service.
-    :param surroundings: what requests share.
-    :param terms_of: gives what is granted to the calls of an ask.
-    :param delays_of: gives the usual delays on a route with a latency objective.
-    :param bind: IP address and port to listen at.
-    :raises OSError: when the port can not be bound.
+    :param surroundings: objects shared by all requests.
+    :param terms_of: returns the terms of the calls for a request.
+    :param delays_of: returns the usual delays on a route with a given latency objective.
+    :param bind: IP address and port to listen on.
+    :raises OSError: when the port cannot be bound.
     """
 
     channel = "ask-server"
@@ -57,7 +57,7 @@
     ):
         super().__init__()
         self._timers = timers
-        self._around = surroundings
+        self._context = surroundings
         self._terms_of = terms_of
         self._delays_of = delays_of
         self._by_link: dict[int, _Link] = {}
@@ -65,17 +65,17 @@
 
     @property
     def open_asks(self) -> int:
-        """How many asks are being worked on; a graceful stop waits for them."""
+        """Number of requests in progress, which a graceful shutdown waits for."""
         return sum(len(link.searches) for link in self._by_link.values())
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of answers since the start."""
+        """Bytes of replies sent since the start."""
         return self._links.sent_bytes
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of answers not written yet."""
+        """Bytes of replies that are queued for sending."""
         return self._links.pending_bytes
 
     def _opened(self, link: int, inbound: bool) -> None:
@@ -86,115 +86,119 @@
             search.cancel()
 
     def _received(self, link: int, data: bytes) -> None:
-        found = self._by_link.get(link)
-        if found is None:
+        state = self._by_link.get(link)
+        if state is None:
             return
         try:
-            for message in found.codec.feed(data):
-                self._take(link, found, message)
+            for message in state.codec.feed(data):
+                self._on_message(link, state, message)
         except FrameError as error:
             log_event("ask-link-refused", level="error", code=error.code)
             self._links.abort(link)
 
-    def _take(self, link: int, found: _Link, message: object) -> None:
+    def _on_message(self, link: int, state: _Link, message: object) -> None:
         if isinstance(message, Ask):
             self._send(link, Taken(message.number))
             self._links.flush(link)
             delays = self._delays_of(message.route, message.target_latency_ms)
-            search = _Search(
-                self._around,
+            search = _DelegatedSearch(
+                self._context,
                 message,
                 self._terms_of(message, delays),
                 delays,
-                lambda answer: self._answer(link, found, answer),
+                lambda reply: self._send_reply(link, state, reply),
                 lambda services, news: self._send(
                     link, LeaveWanted(message.number, services, news.ended, news.replied)
                 ),
             )
-            found.searches[message.number] = search
-            # All that came with it is read first: opening connections takes up to 20 ms an ask, in
-            # which others would wait for the sign that theirs is taken.
+            state.searches[message.number] = search
+            # Messages received together with this one are processed first, as opening connections
+            # takes up to 20 ms per request, which would delay the acceptance of the others.
             self._timers.after(0, search.start)
         elif isinstance(message, Cancel):
-            search = found.searches.pop(message.number, None)
+            search = state.searches.pop(message.number, None)
             if search is not None:
                 search.cancel()
         elif isinstance(message, Leave):
-            search = found.searches.get(message.number)
+            search = state.searches.get(message.number)
             if search is not None:
-                search.leave.grant(message.services)
+                search.attempts.grant(message.services)
         else:
-            raise FrameError("malformed", "entries that ask don't answer")
+            raise FrameError("malformed", "unexpected message from a requesting entry")
 
-    def _answer(self, link: int, found: _Link, answer: Answer) -> None:
-        if answer.number in found.searches:
-            if not answer.pending:
-                del found.searches[answer.number]
-            self._send(link, answer)
+    def _send_reply(self, link: int, state: _Link, reply: Answer) -> None:
+        if reply.number in state.searches:
+            if not reply.pending:
+                del state.searches[reply.number]
+            self._send(link, reply)
 
     def _send(self, link: int, message: Taken | Answer | LeaveWanted) -> None:
-        found = self._by_link.get(link)
-        if found is not None:
-            self._links.send(link, found.codec.encode(message))
+        state = self._by_link.get(link)
+        if state is not None:
+            self._links.send(link, state.codec.encode(message))
 
 
-class _Search:
-    """One ask that is being worked on.
+class _DelegatedSearch:
+    """A delegated search in progress.
 
-    :param surroundings: what requests share.
-    :param ask: what is asked.
-    :param terms: what is granted to the call to each shard.
-    :param delays: the usual delays of such requests at one shard.
-    :param on_answer: told what was found when the answer is due, and what is found after that.
-    :param want_leave: told for which shards one more attempt is wanted, and how those before fared.
-    :ivar leave: the asking entry's leave to send shards to further searchers.
+    :param surroundings: objects shared by all requests.
+    :param request: the request.
+    :param terms: terms of the call to each shard.
+    :param delays: usual delays of such requests at one shard.
+    :param on_reply: called with the results when the reply is due, and with later ones after that.
+    :param request_attempts: asks for further attempts and reports the progress of earlier ones.
+    :ivar attempts: permissions for further attempts.
     """
 
     def __init__(
         self,
         surroundings: Surroundings,
-        ask: Ask,
+        request: Ask,
         terms: CallTerms,
         delays: Delays,
-        on_answer: Callable[[Answer], None],
-        want_leave: Callable[[tuple[str, ...], FarNews], None],
+        on_reply: Callable[[Answer], None],
+        request_attempts: Callable[[tuple[str, ...], FarNews], None],
     ):
-        self._around = surroundings
-        self._ask = ask
-        self._on_answer = on_answer
+        self._context = surroundings
+        self._request = request
+        self._on_reply = on_reply
         self._parts: dict[str, SearcherReply] = {}
         self._untried: list[str] = []
         self._failed: list[str] = []
         self._may_have_run = False
-        self._due = False
-        self._told = False
-        self._over = False
-        request = CallerRequest(ask.request_id, ask.head, ask.body, ask.left_ms)
-        self._story = Story(ask.request_id, surroundings.timers.now_ms)
-        self.leave = AttemptLeave(surroundings.timers, want_leave)
-        terms = replace(terms, control=self.leave)
-        self._calls = ShardCalls(surroundings, request, terms, delays, self._ended, self._story)
-        self._due_ms = surroundings.timers.now_ms() + ask.answer_in_ms
+        self._reply_due = False
+        self._reported = False
+        self._cancelled = False
+        caller_request = CallerRequest(
+            request.request_id, request.head, request.body, request.left_ms
+        )
+        self._story = Story(request.request_id, surroundings.timers.now_ms)
+        self.attempts = RemoteAttemptControl(surroundings.timers, request_attempts)
+        terms = replace(terms, control=self.attempts)
+        self._calls = ShardCalls(
+            surroundings, caller_request, terms, delays, self._on_shard_end, self._story
+        )
+        self._due_ms = surroundings.timers.now_ms() + request.answer_in_ms
         self._timer: Subscription | None = None
 
     def start(self) -> None:
-        """Send to the shards, unless it was cancelled meanwhile."""
-        if self._over:
+        """Send the request to the shards, unless the search was cancelled in the meantime."""
+        if self._cancelled:
             return
-        timers = self._around.timers
-        self._timer = timers.after(self._due_ms - timers.now_ms(), self._answer_due)
-        if not self._ask.searcher:
-            self._around.budget.on_request(self._ask.services)
-        self._calls.start(self._ask.services)
+        timers = self._context.timers
+        self._timer = timers.after(self._due_ms - timers.now_ms(), self._on_reply_due)
+        if not self._request.searcher:
+            self._context.budget.on_request(self._request.services)
+        self._calls.start(self._request.services)
 
     def cancel(self) -> None:
-        """Stop the searchers."""
-        self._over = True
+        """Cancel the attempts at searchers."""
+        self._cancelled = True
         if self._timer is not None:
             self._timer.cancel()
         self._calls.cancel()
 
-    def _ended(self, end: ShardEnd) -> None:
+    def _on_shard_end(self, end: ShardEnd) -> None:
         self._may_have_run = self._may_have_run or end.may_have_run
         if end.reply is not None:
             self._parts[end.service] = end.reply
@@ -202,43 +206,43 @@
             self._untried.append(end.service)
         else:
             self._failed.append(end.service)
-        if self._due or not self._calls.open:
-            self._answer()
+        if self._reply_due or not self._calls.open:
+            self._send_reply()
 
-    def _answer_due(self) -> None:
-        self._due = True
-        self._answer()
+    def _on_reply_due(self) -> None:
+        self._reply_due = True
+        self._send_reply()
 
-    def _answer(self) -> None:
-        """Tell what was found and has not been told yet."""
-        self.leave.say_now()
+    def _send_reply(self) -> None:
+        """Send the results that have not been sent yet."""
+        self.attempts.flush()
         parts, self._parts = self._parts, {}
         untried, self._untried = self._untried, []
         failed, self._failed = self._failed, []
         pending = self._calls.services
         missing = {*pending, *failed}
         if missing:
-            if not self._told:
+            if not self._reported:
                 self._story.tell(frozenset(missing))
-            self._told = True
+            self._reported = True
             log_event(
                 "ask-answered",
-                request=self._ask.request_id,
-                route=self._ask.route,
+                request=self._request.request_id,
+                route=self._request.route,
                 parts=len(parts),
                 without=",".join(sorted(missing)),
                 pending=len(pending),
             )
         if not pending:
             self._timer.cancel()
-        self._on_answer(
+        self._on_reply(
             Answer(
-                self._ask.number,
+                self._request.number,
                 tuple(parts),
                 tuple(reply.signature for reply in parts.values()),
                 tuple(untried),
                 pending,
                 self._may_have_run or self._calls.may_have_run,
-                merge_greatest((reply.body for reply in parts.values()), self._ask.top_k),
+                merge_greatest((reply.body for reply in parts.values()), self._request.top_k),
             )
         )
--- a/rhubarbhinge/delegation/tests/test_link_codec.py
+++ b/rhubarbhinge/delegation/tests/test_link_codec.py
@@ -1,4 +1,4 @@
-"""Messages between entries as a compressed stream."""
+"""Compressed stream of messages on a link."""
 
 import unittest
 import zlib
@@ -11,13 +11,13 @@
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None)
 SERVICES = tuple(f"outage-search-desk-{number:02d}" for number in range(90))
-ASK = Ask(1, "r1", b"GET /x HTTP/1.1\r\n", b"", "route", SERVICES, 10, 1, 2, 2e2, 1e2, 1e3)
+REQUEST = Ask(1, "r1", b"GET /x HTTP/1.1\r\n", b"", "route", SERVICES, 10, 1, 2, 2e2, 1e2, 1e3)
 
 
 class LinkCodecTest(unittest.TestCase):
     @SETTINGS
     @given(st.lists(st.binary(max_size=300), max_size=6), st.integers(1, 50))
-    def test_messages_read_back_whatever_the_borders(self, bodies, step):
+    def test_round_trip_with_any_chunking(self, bodies, step):
         sender, receiver = LinkCodec(), LinkCodec()
         sent = [Answer(n, ("s",), ("sig",), (), (), True, body) for n, body in enumerate(bodies)]
         stream = b"".join(sender.encode(message) for message in sent)
@@ -26,34 +26,34 @@
             got += receiver.feed(stream[start : start + step])
         self.assertEqual(got, sent)
 
-    def test_names_that_come_again_cost_little(self):
+    def test_repeated_names_compress_well(self):
         codec = LinkCodec()
-        first, second = len(codec.encode(ASK)), len(codec.encode(ASK))
+        first, second = len(codec.encode(REQUEST)), len(codec.encode(REQUEST))
         self.assertLess(first, 700)
         self.assertLess(second, 100)
 
     @SETTINGS
     @given(st.binary(min_size=1, max_size=80))
-    def test_other_bytes_are_a_coded_error(self, data):
+    def test_invalid_bytes_raise_a_coded_error(self, data):
         codec = LinkCodec()
         try:
             codec.feed(frame(data))
         except FrameError as error:
             self.assertIn(error.code, ("malformed", "oversized"))
 
-    def test_a_message_that_grows_beyond_all_bounds_is_refused(self):
+    def test_oversized_decompressed_message_is_rejected(self):
         deflate = zlib.compressobj(9, zlib.DEFLATED, -13, 6)
         data = deflate.compress(b"x" * (MAX_FRAME_BYTES + 10)) + deflate.flush(zlib.Z_SYNC_FLUSH)
         with self.assertRaises(FrameError) as caught:
             LinkCodec().feed(frame(data))
         self.assertEqual(caught.exception.code, "oversized")
 
-    def test_a_stream_that_is_ended_is_refused(self):
+    def test_finished_stream_is_rejected(self):
         deflate = zlib.compressobj(3, zlib.DEFLATED, -13, 6)
         with self.assertRaises(FrameError):
             LinkCodec().feed(frame(deflate.compress(b"x") + deflate.flush(zlib.Z_FINISH)))
 
-    def test_each_direction_has_its_own_stream(self):
+    def test_directions_are_independent(self):
         one, other = LinkCodec(), LinkCodec()
         for number in range(5):
             self.assertEqual(other.feed(one.encode(Cancel(number))), [Cancel(number)])
--- a/rhubarbhinge/delegation/tests/test_messages.py
+++ b/rhubarbhinge/delegation/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries."""
+"""Encoding of messages between entries."""
 
 import unittest
 
@@ -18,7 +18,7 @@
     decode_message,
     encode_message,
 )
-from rhubarbhinge.delegation._messages import ANSWER, ASK, HEAD_LENGTH_BYTES, LEAVE_WANTED
+from rhubarbhinge.delegation._messages import ATTEMPT_REQUEST, HEAD_LENGTH_BYTES, REPLY, REQUEST
 from rhubarbhinge.net import FrameError
 from rhubarbhinge.utils.testing_values import FUZZ, JSON_VALUES, mutated
 
@@ -27,72 +27,70 @@
 
 class MessagesTest(unittest.TestCase):
     @given(st.binary(max_size=60), st.binary(max_size=60), NAMES)
-    def test_an_ask_reads_back(self, head, body, services):
-        ask = Ask(7, "r1", head, body, "route", services, 5, 1, 2, 95.0, 80.5, 990.0)
-        single = replace(ask, searcher="i-1")
-        for one in (ask, single, replace(single, searcher_started_unix_ms=1_764_720_000_000)):
+    def test_request_round_trip(self, head, body, services):
+        request = Ask(7, "r1", head, body, "route", services, 5, 1, 2, 95.0, 80.5, 990.0)
+        single = replace(request, searcher="i-1")
+        for one in (request, single, replace(single, searcher_started_unix_ms=1_764_720_000_000)):
             self.assertEqual(decode_message(encode_message(one)), one)
 
     @given(st.binary(max_size=200), NAMES)
-    def test_an_answer_reads_back(self, body, services):
+    def test_reply_round_trip(self, body, services):
         signatures = tuple(f"sig-{name}" for name in services)
-        answer = Answer(7, services, signatures, ("u",), ("p",), True, body)
-        self.assertEqual(decode_message(encode_message(answer)), answer)
+        reply = Answer(7, services, signatures, ("u",), ("p",), True, body)
+        self.assertEqual(decode_message(encode_message(reply)), reply)
 
-    def test_the_short_ones_read_back(self):
+    def test_short_messages_round_trip(self):
         for message in (Taken(3), Cancel(4), LeaveWanted(5, ("s", "t")), Leave(6, ())):
             self.assertEqual(decode_message(encode_message(message)), message)
 
     @given(st.binary(max_size=120))
-    def test_other_bytes_are_a_coded_error(self, data):
+    def test_invalid_bytes_raise_a_coded_error(self, data):
         try:
             decode_message(data)
         except FrameError as error:
             self.assertEqual(error.code, "malformed")
 
-    def test_each_shard_of_an_answer_has_a_signature(self):
-        answer = Answer(7, ("s", "t"), ("sig",), (), (), True, b"")
+    def test_each_shard_of_a_reply_needs_a_signature(self):
+        reply = Answer(7, ("s", "t"), ("sig",), (), (), True, b"")
         with self.assertRaises(FrameError):
-            decode_message(encode_message(answer))
+            decode_message(encode_message(reply))
 
-    def test_an_answer_of_an_earlier_release_has_no_pending_shards(self):
-        body = orjson.dumps([ANSWER, 7, ["s"], ["sig"], [], True])
+    def test_reply_without_pending_shards_is_accepted(self):
+        body = orjson.dumps([REPLY, 7, ["s"], ["sig"], [], True])
         data = len(body).to_bytes(HEAD_LENGTH_BYTES, "little") + body + b"x" * 16
         self.assertEqual(decode_message(data), Answer(7, ("s",), ("sig",), (), (), True, b"x" * 16))
 
-    def test_an_ask_of_an_earlier_release_names_no_start(self):
-        fields = [ASK, 7, "r1", 4, "route", ["s"], 5, 1, 2, 95.0, 80.5, 990.0, "i-1"]
+    def test_request_without_start_time_is_accepted(self):
+        fields = [REQUEST, 7, "r1", 4, "route", ["s"], 5, 1, 2, 95.0, 80.5, 990.0, "i-1"]
         for sent, searcher in ((fields, "i-1"), (fields[:-1], "")):
-            ask = decode_message(_framed(sent, b"headbody"))
-            self.assertEqual((ask.searcher, ask.searcher_started_unix_ms), (searcher, None))
-            self.assertEqual((ask.head, ask.body), (b"head", b"body"))
-
-    def test_an_earlier_release_reads_asks_and_answers_of_this_one(self):
-        # It takes the fields by their places and passes over those that follow.
-        ask = Ask(7, "r1", b"h", b"", "route", ("s",), 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4)
-        fields = _head(encode_message(ask))
+            request = decode_message(_framed(sent, b"headbody"))
+            self.assertEqual((request.searcher, request.searcher_started_unix_ms), (searcher, None))
+            self.assertEqual((request.head, request.body), (b"head", b"body"))
+
+    def test_earlier_releases_can_decode_messages(self):
+        # Earlier releases read fields by position and ignore those that follow.
+        request = Ask(7, "r1", b"h", b"", "route", ("s",), 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4)
+        fields = _head(encode_message(request))
         self.assertEqual(
-            fields[:-1], [ASK, 7, "r1", 1, "route", ["s"], 5, 1, 2, 95, 80.5, 990, "i-1"]
-        )
-        answer = Answer(7, ("s",), ("sig",), (), ("p",), True, b"x" * 16)
-        self.assertEqual(
-            _head(encode_message(answer)), [ANSWER, 7, ["s"], ["sig"], [], True, ["p"]]
+            fields[:-1], [REQUEST, 7, "r1", 1, "route", ["s"], 5, 1, 2, 95, 80.5, 990, "i-1"]
         )
+        reply = Answer(7, ("s",), ("sig",), (), ("p",), True, b"x" * 16)
+        self.assertEqual(_head(encode_message(reply)), [REPLY, 7, ["s"], ["sig"], [], True, ["p"]])
 
-    def test_a_signature_cant_end_the_line_of_a_header(self):
+    def test_signature_cannot_end_a_header_line(self):
         for signature in ("", "a\r\nX-Evil: 1", "a\n", "\u0130"):
-            answer = Answer(7, ("s",), (signature,), (), (), True, b"")
+            reply = Answer(7, ("s",), (signature,), (), (), True, b"")
             with self.assertRaises(FrameError):
-                decode_message(encode_message(answer))
+                decode_message(encode_message(reply))
 
     @FUZZ
     @given(
         JSON_VALUES
-        | mutated([ASK, 7, "r1", 4, "route", ["s"], 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4])
-        | mutated([ANSWER, 7, ["s"], ["sig"], ["u"], True, ["p"]])
-        | mutated([LEAVE_WANTED, 7, ["s"]]),
+        | mutated([REQUEST, 7, "r1", 4, "route", ["s"], 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4])
+        | mutated([REPLY, 7, ["s"], ["sig"], ["u"], True, ["p"]])
+        | mutated([ATTEMPT_REQUEST, 7, ["s"]]),
     )
-    def test_a_message_with_a_fault_is_a_message_or_a_coded_error(self, value):
+    def test_mutated_message_is_valid_or_raises(self, value):
         try:
             message = decode_message(_framed(value, b"body"))
         except FrameError as error:
