--- a/deploy/bench/__init__.py
+++ b/deploy/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers for playing days on the operators' bench."""
+"""Tools for scenarios of the operators' test bench."""
--- a/deploy/bench/kind_days.py
+++ b/deploy/bench/kind_days.py
@@ -1,4 +1,4 @@
-"""Writes days with one kind of trouble alone, twice, or two kinds together.
+"""Generates scenario files ("days") with one kind of fault alone, twice, or in pairs.
 
 Usage: ``python deploy/bench/kind_days.py SITE.toml FOLDER [alone|twice|pairs]``
 """
@@ -8,15 +8,15 @@
 import tomllib
 from pathlib import Path
 
-PLANNED = ("config_change", "config_storm", "big_config", "reshard", "release", "scale_in")
-PLANNED_NODES = ("roll_term", "add_nodes", "hup")
-FIRST_S = 6.0
-"""When the first trouble begins: after the entries have warmed up."""
-SECOND_S = 19.0
-"""When the second one begins, in days with two that follow each other."""
-OVERLAP_S = 1.5
-"""By how much the second one begins later, in days with two together."""
-EXTRA = (
+PLANNED_KINDS = ("config_change", "config_storm", "big_config", "reshard", "release", "scale_in")
+PLANNED_NODE_KINDS = ("roll_term", "add_nodes", "hup")
+FIRST_FAULT_S = 6.0
+"""Start of the first fault, after the entries have warmed up."""
+SECOND_FAULT_S = 19.0
+"""Start of the second fault in scenarios with two consecutive ones."""
+OVERLAP_DELAY_S = 1.5
+"""Delay of the second fault in scenarios with overlapping ones."""
+EXTRA_FAULTS = (
     {"kind": "node_freeze", "share": 0.3, "for_s": 4.0},
     {"kind": "node_slow", "share": 0.3, "x": 5.0, "for_s": 5.0},
     {"kind": "retry_abuse", "share": 0.3, "x": 3.0, "for_s": 5.0},
@@ -27,38 +27,41 @@
     {"kind": "srv_grey", "share": 0.2, "for_s": 5.0, "how": "mute"},
     {"kind": "clock_step", "share": 0.5, "x": 5000.0, "for_s": 6.0, "how": "back"},
 )
-"""Kinds that may come on any deployment and that not every site file lists."""
+"""Kinds that are possible in any deployment but are missing in some site files."""
 
 
 def main(site_path: str, folder: str, mode: str = "alone") -> int:
-    """Write the days.
+    """Generate the scenario files.
 
     :param site_path: the site file.
-    :param folder: where the days go, one file each.
+    :param folder: output folder, one file per scenario.
     :param mode: ``alone``, ``twice`` or ``pairs``.
     :returns: the exit code.
     """
     site = tomllib.loads(Path(site_path).read_text())
     quiet = next(day for day in site["day"] if day["slot"] == "quiet")
-    troubles = [*site["troubles"], *EXTRA]
+    faults = [*site["troubles"], *EXTRA_FAULTS]
     rng = random.Random(f"{site['name']} {mode}")
-    for number, trouble in enumerate(troubles):
-        name = f"{mode}-{number:02d}-{trouble['kind']}"
+    for number, fault in enumerate(faults):
+        name = f"{mode}-{number:02d}-{fault['kind']}"
         if mode == "alone":
-            entries = [{**trouble, "at": FIRST_S}]
+            entries = [{**fault, "at": FIRST_FAULT_S}]
         elif mode == "twice":
-            entries = [{**trouble, "at": FIRST_S}, {**trouble, "at": SECOND_S}]
+            entries = [{**fault, "at": FIRST_FAULT_S}, {**fault, "at": SECOND_FAULT_S}]
         else:
-            other = rng.choice(troubles)
+            other = rng.choice(faults)
             name += f"-{other['kind']}"
-            entries = [{**trouble, "at": FIRST_S}, {**other, "at": FIRST_S + OVERLAP_S}]
-        text = _day(name, rng.randrange(1, 10**9), quiet, entries)
+            entries = [
+                {**fault, "at": FIRST_FAULT_S},
+                {**other, "at": FIRST_FAULT_S + OVERLAP_DELAY_S},
+            ]
+        text = _scenario(name, rng.randrange(1, 10**9), quiet, entries)
         Path(folder, f"{name}.toml").write_text(text)
     return 0
 
 
-def _day(name: str, seed: int, quiet: dict, entries: list[dict]) -> str:
-    planned = (*PLANNED, *PLANNED_NODES)
+def _scenario(name: str, seed: int, quiet: dict, entries: list[dict]) -> str:
+    planned = (*PLANNED_KINDS, *PLANNED_NODE_KINDS)
     plan = [entry for entry in entries if entry["kind"] in planned]
     faults = [entry for entry in entries if entry["kind"] not in planned]
     goal = {"floor": quiet["goal"]["floor"]}
--- a/deploy/entry.py
+++ b/deploy/entry.py
@@ -7,17 +7,17 @@
 import tomllib
 
 SETTINGS_FILE = "RHUBARBHINGE_NODE_FILE"
-"""Environment variable that holds the path of the platform's settings file."""
+"""Environment variable with the path of the platform's settings file."""
 DEFAULT_SETTINGS_PATH = "/etc/rhubarbhinge/node.toml"
 BACKLOG = 1024
-"""Connections that the kernel holds until the entry has started."""
+"""Connections that the kernel queues until the entry has started."""
 
 
 def listen_early(settings_path: str) -> list[socket.socket]:
-    """Listen for callers before the program is loaded, which takes some tenths of a second.
+    """Listen for callers before loading the program, which takes some tenths of a second.
 
-    :param settings_path: the platform's settings file.
-    :returns: the sockets; none when the file can't be read, which the program then reports.
+    :param settings_path: path of the platform's settings file.
+    :returns: the sockets; none when the settings are unreadable, which the program reports later.
     """
     try:
         with open(settings_path, "rb") as file:
@@ -33,11 +33,11 @@
 
 
 def main() -> int:
-    """Run an entry by the platform's settings file.
+    """Run an entry with the platform's settings file.
 
     :returns: the exit code.
     """
-    # Loading makes only objects that stay; collecting them takes a tenth of the start.
+    # Objects created while loading are permanent; garbage collection takes a tenth of the start.
     gc.disable()
     settings_path = os.environ.get(SETTINGS_FILE, DEFAULT_SETTINGS_PATH)
     early = listen_early(settings_path)
