--- a/rhubarbhinge/delegation/_delegates.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -84,7 +84,7 @@
 
     __slots__ = ("_delegates", "_number")
 
-    def __init__(self, delegates: "Delegates", number: int):
+    def __init__(self, delegates: "DelegateClient", number: int):
         self._delegates = delegates
         self._number = number
 
@@ -100,7 +100,7 @@
         self._delegates.grant(self._number, services)
 
 
-class Delegates(BaseComponent):
+class DelegateClient(BaseComponent):
     """Sends search requests to entries of other failure domains, over one link to each.
 
     :param timers: the timer service.
--- a/rhubarbhinge/delegation/_far_sends.py
+++ b/rhubarbhinge/delegation/_far_sends.py
@@ -3,7 +3,7 @@
 import itertools
 from collections.abc import Callable
 
-from rhubarbhinge.delegation._delegates import ANSWER_MARGIN_MS, Delegate, Delegates
+from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, Delegate, DelegateClient
 from rhubarbhinge.delegation._messages import Answer, Ask
 from rhubarbhinge.forward import (
     Attempt,
@@ -40,7 +40,7 @@
     def __init__(
         self,
         timers: TimerService,
-        delegates: Delegates,
+        delegates: DelegateClient,
         failure_domain: str,
         direct: SendAttempt,
     ):
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -7,8 +7,8 @@
 from circuits import BaseComponent
 from msgspec.structs import replace
 
-from rhubarbhinge.delegation import Answer, Ask, AskServer, Delegates
-from rhubarbhinge.delegation._delegates import ACCEPT_TIMEOUT_MS
+from rhubarbhinge.delegation import Answer, Ask, AskServer, DelegateClient
+from rhubarbhinge.delegation._client import ACCEPT_TIMEOUT_MS
 from rhubarbhinge.fleet import Delays, DomainReach
 from rhubarbhinge.forward import Lost, Surroundings, Why
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
@@ -51,7 +51,7 @@
         self.addCleanup(stop_tree, self.root)
         self.replies: list[Answer | None] = []
 
-    def delegates(self, port: int) -> Delegates:
+    def delegates(self, port: int) -> DelegateClient:
         self.membership = Membership(
             self.timers,
             Member("vm-1", "10.0.0.1", "hall-a", 1),
@@ -62,7 +62,7 @@
         )
         self.membership.on_members([OTHER])
         reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
-        return Delegates(self.timers, self.membership, port, random.Random(1), reach).register(
+        return DelegateClient(self.timers, self.membership, port, random.Random(1), reach).register(
             self.root
         )
 
@@ -72,11 +72,11 @@
     def wait(self, condition) -> None:
         self.assertTrue(run_until(self.root, condition), "the bound was reached")
 
-    def open(self, delegates: Delegates) -> str:
+    def open(self, delegates: DelegateClient) -> str:
         self.wait(lambda: delegates.choose("hall-b", 1))
         return delegates.choose("hall-b", 1)[0]
 
-    def start_request(self) -> Delegates:
+    def start_request(self) -> DelegateClient:
         delegates = self.delegates(self.server._links.bound_port)
         self.call = delegates.ask(self.open(delegates), REQUEST, self.replies.append, self.grant)
         self.wait(lambda: len(self.world.attempts) == 2)
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -7,7 +7,7 @@
 
 from circuits import Component, handler
 
-from rhubarbhinge.delegation import Ask, AskServer, Delegates, FarSends
+from rhubarbhinge.delegation import Ask, AskServer, DelegateClient, FarSends
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
 from rhubarbhinge.forward import CallTerms, ConnectionPool, Dialect, Surroundings
 from rhubarbhinge.gateway._address import Address
@@ -159,7 +159,7 @@
         )
         self.timers.on_pause(lambda late_ms: self._cold_shares.on_pause())
         self._share = connection_shares(self._follower, membership, self._processes)
-        delegates = Delegates(
+        delegates = DelegateClient(
             self.timers, membership, settings.ask_port, self._rng, self._reach
         ).register(self)
         prepare = delegates.prepare
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_far_search.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, Delegate, Delegates
+from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, Delegate, DelegateClient
 from rhubarbhinge.fleet import Fleet
 from rhubarbhinge.forward import CallerRequest, Surroundings
 from rhubarbhinge.gather import FarPart, FarSearch, GatherTerms, GrantAttempts
@@ -23,7 +23,7 @@
 def far_search(
     failure_domain: str,
     surroundings: Surroundings,
-    delegates: Delegates,
+    delegates: DelegateClient,
     rng: random.Random,
 ) -> FarSearch:
     """Leave shards without a searcher in this failure domain to other entries, and split many.
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from unittest import mock
 
-from rhubarbhinge.delegation import Ask, AskServer, Delegates, FarSends, _delegates, _serving
+from rhubarbhinge.delegation import Ask, AskServer, DelegateClient, FarSends, _client, _serving
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, Searcher, expected_cost
 from rhubarbhinge.forward import (
     CallerRequest,
@@ -174,10 +174,10 @@
 
         reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
         with (
-            mock.patch.object(_delegates, "Links", links),
+            mock.patch.object(_client, "Links", links),
             mock.patch.object(_serving, "Links", links),
         ):
-            self.delegates = Delegates(self.timers, NamedMembers(name), PORT, rng, reach)
+            self.delegates = DelegateClient(self.timers, NamedMembers(name), PORT, rng, reach)
             self.asks = AskServer(
                 self.timers,
                 self.around,
--- a/rhubarbhinge/gateway/tests/test_attempts.py
+++ b/rhubarbhinge/gateway/tests/test_attempts.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.delegation import _delegates
+from rhubarbhinge.delegation import _client
 from rhubarbhinge.gateway import _far_search
 from rhubarbhinge.gateway.tests.simulated_attempts import SHARDS_AN_ENTRY, World
 
@@ -23,7 +23,7 @@
 class AttemptsTest(unittest.TestCase):
     def setUp(self):
         # Thousands of links break; each would be a line.
-        silent = mock.patch.object(_delegates, "log_event")
+        silent = mock.patch.object(_client, "log_event")
         silent.start()
         self.addCleanup(silent.stop)
 
--- a/rhubarbhinge/gateway/tests/test_fatal_requests.py
+++ b/rhubarbhinge/gateway/tests/test_fatal_requests.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.delegation import _delegates
+from rhubarbhinge.delegation import _client
 from rhubarbhinge.gateway import _far_search
 from rhubarbhinge.gateway.tests.simulated_attempts import SHARDS_AN_ENTRY
 from rhubarbhinge.gateway.tests.simulated_fatal import FATAL, FatalWorld
@@ -25,7 +25,7 @@
 
 class FatalRequestsTest(unittest.TestCase):
     def setUp(self):
-        for module in (_delegates, _quarantine):
+        for module in (_client, _quarantine):
             silent = mock.patch.object(module, "log_event")
             silent.start()
             self.addCleanup(silent.stop)
