--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -18,13 +18,13 @@
     decode_message,
     encode_message,
 )
-from rhubarbhinge.delegation._serving import AskServer
+from rhubarbhinge.delegation._server import DelegateServer
 
 __all__ = [
     "ANSWER_MARGIN_MS",
     "Answer",
     "Ask",
-    "AskServer",
+    "DelegateServer",
     "Cancel",
     "Delegate",
     "DelegateClient",
--- a/rhubarbhinge/delegation/_serving.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -34,7 +34,7 @@
     searches: dict[int, "_DelegatedSearch"] = field(default_factory=dict)
 
 
-class AskServer(BaseComponent):
+class DelegateServer(BaseComponent):
     """Searches shards on behalf of entries in other failure domains.
 
     :param timers: the timer service.
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -7,7 +7,7 @@
 from circuits import BaseComponent
 from msgspec.structs import replace
 
-from rhubarbhinge.delegation import Answer, Ask, AskServer, DelegateClient
+from rhubarbhinge.delegation import Answer, Ask, DelegateClient, DelegateServer
 from rhubarbhinge.delegation._client import ACCEPT_TIMEOUT_MS
 from rhubarbhinge.fleet import Delays, DomainReach
 from rhubarbhinge.forward import Lost, Surroundings, Why
@@ -39,7 +39,7 @@
             around.send,
             around.metrics,
         )
-        self.server = AskServer(
+        self.server = DelegateServer(
             self.timers,
             around,
             lambda request, delays: self.world.terms(
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -7,7 +7,7 @@
 
 from circuits import Component, handler
 
-from rhubarbhinge.delegation import Ask, AskServer, DelegateClient, FarSends
+from rhubarbhinge.delegation import Ask, DelegateClient, DelegateServer, FarSends
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
 from rhubarbhinge.forward import CallTerms, ConnectionPool, Dialect, Surroundings
 from rhubarbhinge.gateway._address import Address
@@ -181,7 +181,7 @@
         self._serving = Serving(
             self.timers.now_ms, self._fleet, self._gateway.can_serve, self._serving_changed
         )
-        self._asks = AskServer(
+        self._asks = DelegateServer(
             self.timers,
             around,
             self._ask_terms,
--- a/rhubarbhinge/gateway/_shutdown.py
+++ b/rhubarbhinge/gateway/_shutdown.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rhubarbhinge.delegation import AskServer
+from rhubarbhinge.delegation import DelegateServer
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.web import HttpServer
@@ -28,7 +28,7 @@
         self,
         timers: TimerService,
         callers: HttpServer,
-        asks: AskServer,
+        asks: DelegateServer,
         end: Callable[[], None],
     ):
         self._timers = timers
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from unittest import mock
 
-from rhubarbhinge.delegation import Ask, AskServer, DelegateClient, FarSends, _client, _serving
+from rhubarbhinge.delegation import Ask, DelegateClient, DelegateServer, FarSends, _client, _server
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, Searcher, expected_cost
 from rhubarbhinge.forward import (
     CallerRequest,
@@ -175,10 +175,10 @@
         reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
         with (
             mock.patch.object(_client, "Links", links),
-            mock.patch.object(_serving, "Links", links),
+            mock.patch.object(_server, "Links", links),
         ):
             self.delegates = DelegateClient(self.timers, NamedMembers(name), PORT, rng, reach)
-            self.asks = AskServer(
+            self.asks = DelegateServer(
                 self.timers,
                 self.around,
                 self._ask_terms,
