--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -5,7 +5,7 @@
 fewer callers, each of which knows more about its load.
 """
 
-from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, Delegate, DelegateClient
+from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, DelegateCall, DelegateClient
 from rhubarbhinge.delegation._far_sends import FarSends
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
@@ -26,7 +26,7 @@
     "Ask",
     "DelegateServer",
     "Cancel",
-    "Delegate",
+    "DelegateCall",
     "DelegateClient",
     "FarSends",
     "Leave",
--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -75,7 +75,7 @@
     answered: bool = False
 
 
-class Delegate:
+class DelegateCall:
     """Handle of a request in progress.
 
     :param delegates: the client.
@@ -170,7 +170,7 @@
                 self._open(ip, failure_domain)
         return addresses
 
-    def ask(self, ip: str, request: Ask, on_reply: OnReply, grant: GrantAttempts) -> Delegate:
+    def ask(self, ip: str, request: Ask, on_reply: OnReply, grant: GrantAttempts) -> DelegateCall:
         """Send a request to an entry.
 
         :param ip: its IP address, as returned by :meth:`choose`.
@@ -191,7 +191,7 @@
         # Flushed before connections to the searchers of this entry's own shards are opened, which
         # would take up most of the time within which the request has to be accepted.
         self._links.flush(link)
-        return Delegate(self, number)
+        return DelegateCall(self, number)
 
     def cancel(self, number: int) -> None:
         """Cancel a request.
--- a/rhubarbhinge/delegation/_far_sends.py
+++ b/rhubarbhinge/delegation/_far_sends.py
@@ -3,7 +3,7 @@
 import itertools
 from collections.abc import Callable
 
-from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, Delegate, DelegateClient
+from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, DelegateCall, DelegateClient
 from rhubarbhinge.delegation._messages import Answer, Ask
 from rhubarbhinge.forward import (
     Attempt,
@@ -132,7 +132,7 @@
         self._sent_ms = timers.now_ms()
         self._finished = False
         self._searcher_ended = False
-        self.call: Delegate | None = None
+        self.call: DelegateCall | None = None
         exchange.searcher.on_sent(number, self._sent_ms)
         exchange.searcher.on_written(number, self._sent_ms)
 
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_far_search.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, Delegate, DelegateClient
+from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, DelegateCall, DelegateClient
 from rhubarbhinge.fleet import Fleet
 from rhubarbhinge.forward import CallerRequest, Surroundings
 from rhubarbhinge.gather import FarPart, FarSearch, GatherTerms, GrantAttempts
@@ -61,7 +61,7 @@
         services: list[str],
         on_part: Callable[[FarPart | None], None],
         grant: GrantAttempts,
-    ) -> Delegate:
+    ) -> DelegateCall:
         now_ms = surroundings.timers.now_ms()
         message = Ask(
             number=0,
