--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, DelegateCall, DelegateClient
-from rhubarbhinge.delegation._far_sends import FarSends
+from rhubarbhinge.delegation._delegated_sender import DelegatedSender
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
     Answer,
@@ -28,7 +28,7 @@
     "Cancel",
     "DelegateCall",
     "DelegateClient",
-    "FarSends",
+    "DelegatedSender",
     "Leave",
     "LeaveWanted",
     "LinkCodec",
--- a/rhubarbhinge/delegation/_far_sends.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -20,7 +20,7 @@
 from rhubarbhinge.timing import TimerService
 
 
-class FarSends:
+class DelegatedSender:
     """Sends single-shard requests to searchers of other failure domains via an entry near them.
 
     The delegate sends the request only to the searcher chosen here, so that no searcher gets a
--- a/rhubarbhinge/delegation/tests/test_far_sends.py
+++ b/rhubarbhinge/delegation/tests/test_delegated_sender.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbhinge.delegation import Answer, Ask, FarSends
+from rhubarbhinge.delegation import Answer, Ask, DelegatedSender
 from rhubarbhinge.fleet import Searcher
 from rhubarbhinge.forward import Exchange, Lost, NotRun, Replied, SearchTerms, Why
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeAttempt, FakeWorld
@@ -31,7 +31,7 @@
         self.cancelled += 1
 
 
-class FarSendsTest(unittest.TestCase):
+class DelegatedSenderTest(unittest.TestCase):
     def setUp(self):
         self.world = FakeWorld(services=("s0",))
         self.world.fleet.put(Searcher("far", "s0", "10.0.1.9", 80, "hall-b", 2))
@@ -39,7 +39,9 @@
         self.delegates = FakeDelegates()
         self.direct: list[FakeAttempt] = []
         self.outcomes = []
-        self.sends = FarSends(self.world.timers, self.delegates, "hall-a", self._send_directly)
+        self.sends = DelegatedSender(
+            self.world.timers, self.delegates, "hall-a", self._send_directly
+        )
 
     def _send_directly(self, exchange, on_outcome) -> FakeAttempt:
         self.direct.append(FakeAttempt(exchange, on_outcome))
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -7,7 +7,7 @@
 
 from circuits import Component, handler
 
-from rhubarbhinge.delegation import Ask, DelegateClient, DelegateServer, FarSends
+from rhubarbhinge.delegation import Ask, DelegateClient, DelegatedSender, DelegateServer
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
 from rhubarbhinge.forward import CallTerms, ConnectionPool, Dialect, Surroundings
 from rhubarbhinge.gateway._address import Address
@@ -114,7 +114,7 @@
             self._fleet,
             preference,
             self._budget,
-            lambda exchange, tell: self._far_sends.send(exchange, tell),
+            lambda exchange, tell: self._delegated_sender.send(exchange, tell),
             self._metrics,
             lambda observed, now_ms: self._cold_shares.may_send(observed, now_ms),
         )
@@ -164,7 +164,9 @@
         ).register(self)
         prepare = delegates.prepare
         self.timers.every(LINKS_MS, lambda: prepare(settings.failure_domain))
-        self._far_sends = FarSends(self.timers, delegates, settings.failure_domain, self._pool.send)
+        self._delegated_sender = DelegatedSender(
+            self.timers, delegates, settings.failure_domain, self._pool.send
+        )
         far = far_search(settings.failure_domain, around, delegates, self._rng)
         parts = GatewayParts(
             around,
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -10,7 +10,14 @@
 from collections.abc import Callable
 from unittest import mock
 
-from rhubarbhinge.delegation import Ask, DelegateClient, DelegateServer, FarSends, _client, _server
+from rhubarbhinge.delegation import (
+    Ask,
+    DelegateClient,
+    DelegatedSender,
+    DelegateServer,
+    _client,
+    _server,
+)
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, Searcher, expected_cost
 from rhubarbhinge.forward import (
     CallerRequest,
@@ -165,7 +172,7 @@
             fleet,
             expected_cost(domain, rng),
             budget,
-            lambda exchange, tell: self._far_sends.send(exchange, tell),
+            lambda exchange, tell: self._delegated_sender.send(exchange, tell),
             Metrics(),
         )
 
@@ -185,7 +192,7 @@
                 lambda route, target_ms: self.delays,
                 (name, PORT),
             )
-        self._far_sends = FarSends(self.timers, self.delegates, domain, self._send)
+        self._delegated_sender = DelegatedSender(self.timers, self.delegates, domain, self._send)
         self.far = _far_search.far_search(domain, self.around, self.delegates, rng)
 
     def _send(self, exchange: Exchange, tell: Callable[[Outcome], None]) -> SimulatedAttempt:
