--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -10,8 +10,8 @@
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
     Answer,
-    Ask,
     Cancel,
+    DelegateRequest,
     Leave,
     LeaveWanted,
     Taken,
@@ -23,7 +23,7 @@
 __all__ = [
     "ANSWER_MARGIN_MS",
     "Answer",
-    "Ask",
+    "DelegateRequest",
     "DelegateServer",
     "Cancel",
     "DelegateCall",
--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -12,8 +12,8 @@
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
     Answer,
-    Ask,
     Cancel,
+    DelegateRequest,
     Leave,
     LeaveWanted,
     Message,
@@ -170,7 +170,9 @@
                 self._open(ip, failure_domain)
         return addresses
 
-    def ask(self, ip: str, request: Ask, on_reply: OnReply, grant: GrantAttempts) -> DelegateCall:
+    def ask(
+        self, ip: str, request: DelegateRequest, on_reply: OnReply, grant: GrantAttempts
+    ) -> DelegateCall:
         """Send a request to an entry.
 
         :param ip: its IP address, as returned by :meth:`choose`.
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, DelegateCall, DelegateClient
-from rhubarbhinge.delegation._messages import Answer, Ask
+from rhubarbhinge.delegation._messages import Answer, DelegateRequest
 from rhubarbhinge.forward import (
     Attempt,
     Exchange,
@@ -72,11 +72,11 @@
         return attempt
 
 
-def _request_for(exchange: Exchange, now_ms: float) -> Ask:
+def _request_for(exchange: Exchange, now_ms: float) -> DelegateRequest:
     left_ms = max(0.0, exchange.deadline_ms - now_ms)
     answer_in_ms = exchange.due_ms - now_ms - ANSWER_MARGIN_MS
     request = exchange.request
-    return Ask(
+    return DelegateRequest(
         number=0,
         request_id=request.id,
         head=request.head,
--- a/rhubarbhinge/delegation/_messages.py
+++ b/rhubarbhinge/delegation/_messages.py
@@ -14,7 +14,7 @@
 """Size of the length prefix of a message's head, which the body follows."""
 
 
-class Ask(Struct, frozen=True):
+class DelegateRequest(Struct, frozen=True):
     """Request to search some shards.
 
     :param number: identifies this request on its link.
@@ -116,7 +116,7 @@
     services: tuple[str, ...]
 
 
-Message = Ask | Taken | Answer | Cancel | LeaveWanted | Leave
+Message = DelegateRequest | Taken | Answer | Cancel | LeaveWanted | Leave
 
 
 class _WireRequest(msgspec.Struct, frozen=True, array_like=True, tag=REQUEST):
@@ -188,7 +188,7 @@
     :returns: the payload of a frame.
     """
     body = b""
-    if isinstance(message, Ask):
+    if isinstance(message, DelegateRequest):
         body = message.head + message.body
     elif isinstance(message, Answer):
         body = message.body
@@ -212,7 +212,7 @@
 
 def _to_wire(message: Message) -> _Wire:
     """Convert the head of a message to its wire form."""
-    if isinstance(message, Ask):
+    if isinstance(message, DelegateRequest):
         return _WireRequest(
             message.number,
             message.request_id,
@@ -248,7 +248,7 @@
 
 def _from_wire(sent: _Wire, body: bytes) -> Message:
     if isinstance(sent, _WireRequest):
-        return Ask(
+        return DelegateRequest(
             sent.number,
             sent.request_id,
             body[: sent.head_bytes],
--- a/rhubarbhinge/delegation/_server.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -9,8 +9,8 @@
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
     Answer,
-    Ask,
     Cancel,
+    DelegateRequest,
     Leave,
     LeaveWanted,
     Taken,
@@ -23,7 +23,7 @@
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import Subscription, TimerService
 
-TermsOf = Callable[[Ask, Delays], CallTerms]
+TermsOf = Callable[[DelegateRequest, Delays], CallTerms]
 """Returns the terms of the calls for a request."""
 
 
@@ -97,7 +97,7 @@
             self._links.abort(link)
 
     def _on_message(self, link: int, state: _Link, message: object) -> None:
-        if isinstance(message, Ask):
+        if isinstance(message, DelegateRequest):
             self._send(link, Taken(message.number))
             self._links.flush(link)
             delays = self._delays_of(message.route, message.target_latency_ms)
@@ -153,7 +153,7 @@
     def __init__(
         self,
         surroundings: Surroundings,
-        request: Ask,
+        request: DelegateRequest,
         terms: CallTerms,
         delays: Delays,
         on_reply: Callable[[Answer], None],
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -7,7 +7,7 @@
 from circuits import BaseComponent
 from msgspec.structs import replace
 
-from rhubarbhinge.delegation import Answer, Ask, DelegateClient, DelegateServer
+from rhubarbhinge.delegation import Answer, DelegateClient, DelegateRequest, DelegateServer
 from rhubarbhinge.delegation._client import ACCEPT_TIMEOUT_MS
 from rhubarbhinge.fleet import Delays, DomainReach
 from rhubarbhinge.forward import Lost, Surroundings, Why
@@ -19,7 +19,9 @@
 from rhubarbhinge.utils.testing import run_until, stop_tree
 from rhubarbhinge.utils.testing_revisions import at
 
-REQUEST = Ask(0, "r1", b"GET /x HTTP/1.1\r\n", b"", "route", ("s0", "s1"), 2, 1, 2, 5e4, 4e4, 5e4)
+REQUEST = DelegateRequest(
+    0, "r1", b"GET /x HTTP/1.1\r\n", b"", "route", ("s0", "s1"), 2, 1, 2, 5e4, 4e4, 5e4
+)
 OTHER = Member("vm-2", "127.0.0.1", "hall-b", 2)
 
 
--- a/rhubarbhinge/delegation/tests/test_delegated_sender.py
+++ b/rhubarbhinge/delegation/tests/test_delegated_sender.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbhinge.delegation import Answer, Ask, DelegatedSender
+from rhubarbhinge.delegation import Answer, DelegatedSender, DelegateRequest
 from rhubarbhinge.fleet import Searcher
 from rhubarbhinge.forward import Exchange, Lost, NotRun, Replied, SearchTerms, Why
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeAttempt, FakeWorld
@@ -16,13 +16,13 @@
 
     def __init__(self):
         self.ready = ["10.0.1.2"]
-        self.requests: list[Ask] = []
+        self.requests: list[DelegateRequest] = []
         self.cancelled = 0
 
     def choose(self, failure_domain: str, count: int) -> list[str]:
         return self.ready[:count] if failure_domain == "hall-b" else []
 
-    def ask(self, ip: str, request: Ask, on_reply, grant):
+    def ask(self, ip: str, request: DelegateRequest, on_reply, grant):
         self.requests.append(request)
         self.reply, self.grant = on_reply, grant
         return self
--- a/rhubarbhinge/delegation/tests/test_link_codec.py
+++ b/rhubarbhinge/delegation/tests/test_link_codec.py
@@ -6,12 +6,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.delegation import Answer, Ask, Cancel, LinkCodec
+from rhubarbhinge.delegation import Answer, Cancel, DelegateRequest, LinkCodec
 from rhubarbhinge.net import MAX_FRAME_BYTES, FrameError, frame
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None)
 SERVICES = tuple(f"outage-search-desk-{number:02d}" for number in range(90))
-REQUEST = Ask(1, "r1", b"GET /x HTTP/1.1\r\n", b"", "route", SERVICES, 10, 1, 2, 2e2, 1e2, 1e3)
+REQUEST = DelegateRequest(
+    1, "r1", b"GET /x HTTP/1.1\r\n", b"", "route", SERVICES, 10, 1, 2, 2e2, 1e2, 1e3
+)
 
 
 class LinkCodecTest(unittest.TestCase):
--- a/rhubarbhinge/delegation/tests/test_messages.py
+++ b/rhubarbhinge/delegation/tests/test_messages.py
@@ -10,8 +10,8 @@
 
 from rhubarbhinge.delegation import (
     Answer,
-    Ask,
     Cancel,
+    DelegateRequest,
     Leave,
     LeaveWanted,
     Taken,
@@ -28,7 +28,9 @@
 class MessagesTest(unittest.TestCase):
     @given(st.binary(max_size=60), st.binary(max_size=60), NAMES)
     def test_request_round_trip(self, head, body, services):
-        request = Ask(7, "r1", head, body, "route", services, 5, 1, 2, 95.0, 80.5, 990.0)
+        request = DelegateRequest(
+            7, "r1", head, body, "route", services, 5, 1, 2, 95.0, 80.5, 990.0
+        )
         single = replace(request, searcher="i-1")
         for one in (request, single, replace(single, searcher_started_unix_ms=1_764_720_000_000)):
             self.assertEqual(decode_message(encode_message(one)), one)
@@ -69,7 +71,9 @@
 
     def test_earlier_releases_can_decode_messages(self):
         # Earlier releases read fields by position and ignore those that follow.
-        request = Ask(7, "r1", b"h", b"", "route", ("s",), 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4)
+        request = DelegateRequest(
+            7, "r1", b"h", b"", "route", ("s",), 5, 1, 2, 95.0, 80.5, 990.0, "i-1", 4
+        )
         fields = _head(encode_message(request))
         self.assertEqual(
             fields[:-1], [REQUEST, 7, "r1", 1, "route", ["s"], 5, 1, 2, 95, 80.5, 990, "i-1"]
--- a/rhubarbhinge/gateway/_call_terms.py
+++ b/rhubarbhinge/gateway/_call_terms.py
@@ -1,6 +1,6 @@
 """What is granted to the calls of one request."""
 
-from rhubarbhinge.delegation import Ask
+from rhubarbhinge.delegation import DelegateRequest
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import CallTerms, SearchTerms
 
@@ -63,7 +63,7 @@
     )
 
 
-def ask_terms(ask: Ask, delays: Delays, now_ms: float) -> CallTerms:
+def ask_terms(ask: DelegateRequest, delays: Delays, now_ms: float) -> CallTerms:
     """Work out what is granted to each call of an ask of another entry.
 
     :param ask: the ask.
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -7,7 +7,7 @@
 
 from circuits import Component, handler
 
-from rhubarbhinge.delegation import Ask, DelegateClient, DelegatedSender, DelegateServer
+from rhubarbhinge.delegation import DelegateClient, DelegatedSender, DelegateRequest, DelegateServer
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
 from rhubarbhinge.forward import CallTerms, ConnectionPool, Dialect, Surroundings
 from rhubarbhinge.gateway._address import Address
@@ -249,7 +249,7 @@
         self._budget.rule = settings.retry_budget
         self._peers.membership.follow_seeds(settings.seed_ips)
 
-    def _ask_terms(self, ask: Ask, delays: Delays) -> CallTerms:
+    def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
         return ask_terms(ask, delays, self.timers.now_ms())
 
     def _processes(self) -> int:
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_far_search.py
@@ -10,7 +10,13 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, DelegateCall, DelegateClient
+from rhubarbhinge.delegation import (
+    ANSWER_MARGIN_MS,
+    Answer,
+    DelegateCall,
+    DelegateClient,
+    DelegateRequest,
+)
 from rhubarbhinge.fleet import Fleet
 from rhubarbhinge.forward import CallerRequest, Surroundings
 from rhubarbhinge.gather import FarPart, FarSearch, GatherTerms, GrantAttempts
@@ -63,7 +69,7 @@
         grant: GrantAttempts,
     ) -> DelegateCall:
         now_ms = surroundings.timers.now_ms()
-        message = Ask(
+        message = DelegateRequest(
             number=0,
             request_id=request.id,
             head=request.head,
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -11,9 +11,9 @@
 from unittest import mock
 
 from rhubarbhinge.delegation import (
-    Ask,
     DelegateClient,
     DelegatedSender,
+    DelegateRequest,
     DelegateServer,
     _client,
     _server,
@@ -198,7 +198,7 @@
     def _send(self, exchange: Exchange, tell: Callable[[Outcome], None]) -> SimulatedAttempt:
         return SimulatedAttempt(self.world.searchers, self.timers, exchange, tell)
 
-    def _ask_terms(self, ask: Ask, delays: Delays) -> CallTerms:
+    def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
         return ask_terms(ask, delays, self.timers.now_ms())
 
     def search(
