--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -9,8 +9,8 @@
 from rhubarbhinge.delegation._delegated_sender import DelegatedSender
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
-    Answer,
     Cancel,
+    DelegateReply,
     DelegateRequest,
     Leave,
     LeaveWanted,
@@ -22,7 +22,7 @@
 
 __all__ = [
     "ANSWER_MARGIN_MS",
-    "Answer",
+    "DelegateReply",
     "DelegateRequest",
     "DelegateServer",
     "Cancel",
--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -11,8 +11,8 @@
 
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
-    Answer,
     Cancel,
+    DelegateReply,
     DelegateRequest,
     Leave,
     LeaveWanted,
@@ -47,7 +47,7 @@
 UNREACHABLE_REASONS = (CloseReason.SILENT, CloseReason.CONNECT_TIMEOUT)
 """Close reasons of links to unreachable hosts; a process that exits closes its links otherwise."""
 
-OnReply = Callable[[Answer | None], None]
+OnReply = Callable[[DelegateReply | None], None]
 """Called with each reply, of which the last has no pending shards; or with None when the delegate
 failed and the remaining shards have to be searched in another way."""
 
@@ -254,7 +254,7 @@
         if call is None:
             return
         call.timer.cancel()
-        if isinstance(message, Answer):
+        if isinstance(message, DelegateReply):
             call.answered = True
             if not message.pending:
                 del self._calls[message.number]
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, DelegateCall, DelegateClient
-from rhubarbhinge.delegation._messages import Answer, DelegateRequest
+from rhubarbhinge.delegation._messages import DelegateReply, DelegateRequest
 from rhubarbhinge.forward import (
     Attempt,
     Exchange,
@@ -157,7 +157,7 @@
         self._searcher_ended = self._searcher_ended or bool(news.ended)
         return ()
 
-    def on_reply(self, reply: Answer | None) -> None:
+    def on_reply(self, reply: DelegateReply | None) -> None:
         """Handle a reply of the delegate.
 
         :param reply: the reply; None if the delegate failed.
@@ -167,7 +167,7 @@
         self._finished = True
         self._on_outcome(self._outcome(reply))
 
-    def _outcome(self, reply: Answer | None) -> Outcome:
+    def _outcome(self, reply: DelegateReply | None) -> Outcome:
         exchange, now_ms = self._exchange, self._timers.now_ms()
         searcher, service = exchange.searcher, exchange.searcher.searcher.service
         if reply is not None and reply.services == (service,):
@@ -184,7 +184,7 @@
         return Lost(Why.BROKEN, self._searcher_ended)
 
 
-def _searcher_reply(request_id: str, reply: Answer) -> SearcherReply:
+def _searcher_reply(request_id: str, reply: DelegateReply) -> SearcherReply:
     return SearcherReply(
         status=200,
         headers=(),
--- a/rhubarbhinge/delegation/_messages.py
+++ b/rhubarbhinge/delegation/_messages.py
@@ -60,7 +60,7 @@
     number: int
 
 
-class Answer(Struct, frozen=True):
+class DelegateReply(Struct, frozen=True):
     """Results of a request, or of the shards that an earlier reply listed as pending.
 
     :param number: number of the request.
@@ -116,7 +116,7 @@
     services: tuple[str, ...]
 
 
-Message = DelegateRequest | Taken | Answer | Cancel | LeaveWanted | Leave
+Message = DelegateRequest | Taken | DelegateReply | Cancel | LeaveWanted | Leave
 
 
 class _WireRequest(msgspec.Struct, frozen=True, array_like=True, tag=REQUEST):
@@ -190,7 +190,7 @@
     body = b""
     if isinstance(message, DelegateRequest):
         body = message.head + message.body
-    elif isinstance(message, Answer):
+    elif isinstance(message, DelegateReply):
         body = message.body
     head = msgspec.json.encode(_to_wire(message))
     return len(head).to_bytes(HEAD_LENGTH_BYTES, "little") + head + body
@@ -228,7 +228,7 @@
             message.searcher,
             message.searcher_started_unix_ms,
         )
-    if isinstance(message, Answer):
+    if isinstance(message, DelegateReply):
         return _WireReply(
             message.number,
             message.services,
@@ -267,7 +267,7 @@
     if isinstance(sent, _WireReply):
         if len(sent.services) != len(sent.signatures):
             raise ValueError("number of signatures differs from that of shards")
-        return Answer(
+        return DelegateReply(
             sent.number,
             sent.services,
             sent.signatures,
--- a/rhubarbhinge/delegation/_server.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -8,8 +8,8 @@
 
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
-    Answer,
     Cancel,
+    DelegateReply,
     DelegateRequest,
     Leave,
     LeaveWanted,
@@ -126,13 +126,13 @@
         else:
             raise FrameError("malformed", "unexpected message from a requesting entry")
 
-    def _send_reply(self, link: int, state: _Link, reply: Answer) -> None:
+    def _send_reply(self, link: int, state: _Link, reply: DelegateReply) -> None:
         if reply.number in state.searches:
             if not reply.pending:
                 del state.searches[reply.number]
             self._send(link, reply)
 
-    def _send(self, link: int, message: Taken | Answer | LeaveWanted) -> None:
+    def _send(self, link: int, message: Taken | DelegateReply | LeaveWanted) -> None:
         state = self._by_link.get(link)
         if state is not None:
             self._links.send(link, state.codec.encode(message))
@@ -156,7 +156,7 @@
         request: DelegateRequest,
         terms: CallTerms,
         delays: Delays,
-        on_reply: Callable[[Answer], None],
+        on_reply: Callable[[DelegateReply], None],
         request_attempts: Callable[[tuple[str, ...], FarNews], None],
     ):
         self._context = surroundings
@@ -236,7 +236,7 @@
         if not pending:
             self._timer.cancel()
         self._on_reply(
-            Answer(
+            DelegateReply(
                 self._request.number,
                 tuple(parts),
                 tuple(reply.signature for reply in parts.values()),
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -7,7 +7,7 @@
 from circuits import BaseComponent
 from msgspec.structs import replace
 
-from rhubarbhinge.delegation import Answer, DelegateClient, DelegateRequest, DelegateServer
+from rhubarbhinge.delegation import DelegateClient, DelegateReply, DelegateRequest, DelegateServer
 from rhubarbhinge.delegation._client import ACCEPT_TIMEOUT_MS
 from rhubarbhinge.fleet import Delays, DomainReach
 from rhubarbhinge.forward import Lost, Surroundings, Why
@@ -51,7 +51,7 @@
             ("127.0.0.1", 0),
         ).register(self.root)
         self.addCleanup(stop_tree, self.root)
-        self.replies: list[Answer | None] = []
+        self.replies: list[DelegateReply | None] = []
 
     def delegates(self, port: int) -> DelegateClient:
         self.membership = Membership(
@@ -297,7 +297,7 @@
         address = self.open(delegates)
         calls = []
 
-        def failed(reply: Answer | None) -> None:
+        def failed(reply: DelegateReply | None) -> None:
             self.replies.append(reply)
             for call in calls:
                 call.cancel()
--- a/rhubarbhinge/delegation/tests/test_delegated_sender.py
+++ b/rhubarbhinge/delegation/tests/test_delegated_sender.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbhinge.delegation import Answer, DelegatedSender, DelegateRequest
+from rhubarbhinge.delegation import DelegatedSender, DelegateReply, DelegateRequest
 from rhubarbhinge.fleet import Searcher
 from rhubarbhinge.forward import Exchange, Lost, NotRun, Replied, SearchTerms, Why
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeAttempt, FakeWorld
@@ -63,7 +63,9 @@
 
     def reply(self, services=(), untried=(), pending=(), ran: bool = True) -> None:
         signatures = tuple(f"sig-{name}" for name in services)
-        self.delegates.reply(Answer(0, services, signatures, untried, pending, ran, b"z" * 16))
+        self.delegates.reply(
+            DelegateReply(0, services, signatures, untried, pending, ran, b"z" * 16)
+        )
 
     def test_delegated_attempt_is_not_counted_as_unwritten(self):
         now_ms = self.world.timers.now_ms()
--- a/rhubarbhinge/delegation/tests/test_link_codec.py
+++ b/rhubarbhinge/delegation/tests/test_link_codec.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.delegation import Answer, Cancel, DelegateRequest, LinkCodec
+from rhubarbhinge.delegation import Cancel, DelegateReply, DelegateRequest, LinkCodec
 from rhubarbhinge.net import MAX_FRAME_BYTES, FrameError, frame
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None)
@@ -21,7 +21,9 @@
     @given(st.lists(st.binary(max_size=300), max_size=6), st.integers(1, 50))
     def test_round_trip_with_any_chunking(self, bodies, step):
         sender, receiver = LinkCodec(), LinkCodec()
-        sent = [Answer(n, ("s",), ("sig",), (), (), True, body) for n, body in enumerate(bodies)]
+        sent = [
+            DelegateReply(n, ("s",), ("sig",), (), (), True, body) for n, body in enumerate(bodies)
+        ]
         stream = b"".join(sender.encode(message) for message in sent)
         got = []
         for start in range(0, len(stream), step):
--- a/rhubarbhinge/delegation/tests/test_messages.py
+++ b/rhubarbhinge/delegation/tests/test_messages.py
@@ -9,8 +9,8 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.delegation import (
-    Answer,
     Cancel,
+    DelegateReply,
     DelegateRequest,
     Leave,
     LeaveWanted,
@@ -38,7 +38,7 @@
     @given(st.binary(max_size=200), NAMES)
     def test_reply_round_trip(self, body, services):
         signatures = tuple(f"sig-{name}" for name in services)
-        reply = Answer(7, services, signatures, ("u",), ("p",), True, body)
+        reply = DelegateReply(7, services, signatures, ("u",), ("p",), True, body)
         self.assertEqual(decode_message(encode_message(reply)), reply)
 
     def test_short_messages_round_trip(self):
@@ -53,14 +53,16 @@
             self.assertEqual(error.code, "malformed")
 
     def test_each_shard_of_a_reply_needs_a_signature(self):
-        reply = Answer(7, ("s", "t"), ("sig",), (), (), True, b"")
+        reply = DelegateReply(7, ("s", "t"), ("sig",), (), (), True, b"")
         with self.assertRaises(FrameError):
             decode_message(encode_message(reply))
 
     def test_reply_without_pending_shards_is_accepted(self):
         body = orjson.dumps([REPLY, 7, ["s"], ["sig"], [], True])
         data = len(body).to_bytes(HEAD_LENGTH_BYTES, "little") + body + b"x" * 16
-        self.assertEqual(decode_message(data), Answer(7, ("s",), ("sig",), (), (), True, b"x" * 16))
+        self.assertEqual(
+            decode_message(data), DelegateReply(7, ("s",), ("sig",), (), (), True, b"x" * 16)
+        )
 
     def test_request_without_start_time_is_accepted(self):
         fields = [REQUEST, 7, "r1", 4, "route", ["s"], 5, 1, 2, 95.0, 80.5, 990.0, "i-1"]
@@ -78,12 +80,12 @@
         self.assertEqual(
             fields[:-1], [REQUEST, 7, "r1", 1, "route", ["s"], 5, 1, 2, 95, 80.5, 990, "i-1"]
         )
-        reply = Answer(7, ("s",), ("sig",), (), ("p",), True, b"x" * 16)
+        reply = DelegateReply(7, ("s",), ("sig",), (), ("p",), True, b"x" * 16)
         self.assertEqual(_head(encode_message(reply)), [REPLY, 7, ["s"], ["sig"], [], True, ["p"]])
 
     def test_signature_cannot_end_a_header_line(self):
         for signature in ("", "a\r\nX-Evil: 1", "a\n", "\u0130"):
-            reply = Answer(7, ("s",), (signature,), (), (), True, b"")
+            reply = DelegateReply(7, ("s",), (signature,), (), (), True, b"")
             with self.assertRaises(FrameError):
                 decode_message(encode_message(reply))
 
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_far_search.py
@@ -12,9 +12,9 @@
 
 from rhubarbhinge.delegation import (
     ANSWER_MARGIN_MS,
-    Answer,
     DelegateCall,
     DelegateClient,
+    DelegateReply,
     DelegateRequest,
 )
 from rhubarbhinge.fleet import Fleet
@@ -123,7 +123,7 @@
     }
 
 
-def _part(answer: Answer | None) -> FarPart | None:
+def _part(answer: DelegateReply | None) -> FarPart | None:
     if answer is None:
         return None
     return FarPart(
