--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -9,12 +9,12 @@
 from rhubarbhinge.delegation._delegated_sender import DelegatedSender
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
-    Cancel,
+    AttemptGrant,
+    AttemptRequest,
+    DelegateAccepted,
+    DelegateCancel,
     DelegateReply,
     DelegateRequest,
-    Leave,
-    LeaveWanted,
-    Taken,
     decode_message,
     encode_message,
 )
@@ -25,14 +25,14 @@
     "DelegateReply",
     "DelegateRequest",
     "DelegateServer",
-    "Cancel",
+    "DelegateCancel",
     "DelegateCall",
     "DelegateClient",
     "DelegatedSender",
-    "Leave",
-    "LeaveWanted",
+    "AttemptGrant",
+    "AttemptRequest",
     "LinkCodec",
-    "Taken",
+    "DelegateAccepted",
     "decode_message",
     "encode_message",
 ]
--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -11,13 +11,13 @@
 
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
-    Cancel,
+    AttemptGrant,
+    AttemptRequest,
+    DelegateAccepted,
+    DelegateCancel,
     DelegateReply,
     DelegateRequest,
-    Leave,
-    LeaveWanted,
     Message,
-    Taken,
 )
 from rhubarbhinge.fleet import DomainReach
 from rhubarbhinge.gather import FarNews, GrantAttempts
@@ -203,7 +203,7 @@
         call = self._calls.pop(number, None)
         if call is not None:
             call.timer.cancel()
-            self._send(call.link, Cancel(number))
+            self._send(call.link, DelegateCancel(number))
 
     def grant(self, number: int, services: tuple[str, ...]) -> None:
         """Allow one more attempt at each of some shards of a request.
@@ -213,7 +213,7 @@
         """
         call = self._calls.get(number)
         if call is not None:
-            self._send(call.link, Leave(number, services))
+            self._send(call.link, AttemptGrant(number, services))
 
     def _rank(self, member: Member) -> int:
         """Return a sort key that differs between requesting entries."""
@@ -259,12 +259,12 @@
             if not message.pending:
                 del self._calls[message.number]
             call.on_reply(message)
-        elif isinstance(message, LeaveWanted):
+        elif isinstance(message, AttemptRequest):
             news = FarNews(message.ended, message.replied)
             granted = call.grant(message.services, news)
             if granted:
-                self._send(call.link, Leave(message.number, granted))
-        elif not isinstance(message, Taken):
+                self._send(call.link, AttemptGrant(message.number, granted))
+        elif not isinstance(message, DelegateAccepted):
             raise FrameError("malformed", "unexpected message from a delegate")
         if not call.answered:
             left_ms = call.due_ms - self._timers.now_ms()
@@ -285,7 +285,7 @@
         call = self._calls.get(number)
         if call is None:
             return
-        self._send(call.link, Cancel(number))
+        self._send(call.link, DelegateCancel(number))
         self._fail(number, code)
 
     def _closed(self, link: int, reason: CloseReason) -> None:
--- a/rhubarbhinge/delegation/_messages.py
+++ b/rhubarbhinge/delegation/_messages.py
@@ -51,7 +51,7 @@
     searcher_started_unix_ms: int | None = None
 
 
-class Taken(Struct, frozen=True):
+class DelegateAccepted(Struct, frozen=True):
     """A request was received and is being processed.
 
     :param number: number of the request.
@@ -81,7 +81,7 @@
     body: bytes
 
 
-class Cancel(Struct, frozen=True):
+class DelegateCancel(Struct, frozen=True):
     """Cancels a request.
 
     :param number: number of the request.
@@ -90,7 +90,7 @@
     number: int
 
 
-class LeaveWanted(Struct, frozen=True):
+class AttemptRequest(Struct, frozen=True):
     """Asks for a further attempt at some shards, and reports on earlier attempts.
 
     :param number: number of the request.
@@ -105,7 +105,7 @@
     replied: bool = False
 
 
-class Leave(Struct, frozen=True):
+class AttemptGrant(Struct, frozen=True):
     """Allows one more attempt at each of some shards.
 
     :param number: number of the request.
@@ -116,7 +116,14 @@
     services: tuple[str, ...]
 
 
-Message = DelegateRequest | Taken | DelegateReply | Cancel | LeaveWanted | Leave
+Message = (
+    DelegateRequest
+    | DelegateAccepted
+    | DelegateReply
+    | DelegateCancel
+    | AttemptRequest
+    | AttemptGrant
+)
 
 
 class _WireRequest(msgspec.Struct, frozen=True, array_like=True, tag=REQUEST):
@@ -237,12 +244,12 @@
             message.may_have_run,
             message.pending,
         )
-    if isinstance(message, LeaveWanted):
+    if isinstance(message, AttemptRequest):
         ended = tuple((one.service, one.mark) for one in message.ended)
         return _WireAttemptRequest(message.number, message.services, ended, message.replied)
-    if isinstance(message, Leave):
+    if isinstance(message, AttemptGrant):
         return _WireAttemptGrant(message.number, message.services)
-    sent = _WireAccepted if isinstance(message, Taken) else _WireCancel
+    sent = _WireAccepted if isinstance(message, DelegateAccepted) else _WireCancel
     return sent(message.number)
 
 
@@ -278,7 +285,11 @@
         )
     if isinstance(sent, _WireAttemptRequest):
         ended = tuple(EndedSearcher(service, mark) for service, mark in sent.ended)
-        return LeaveWanted(sent.number, sent.services, ended, sent.replied)
+        return AttemptRequest(sent.number, sent.services, ended, sent.replied)
     if isinstance(sent, _WireAttemptGrant):
-        return Leave(sent.number, sent.services)
-    return Taken(sent.number) if isinstance(sent, _WireAccepted) else Cancel(sent.number)
+        return AttemptGrant(sent.number, sent.services)
+    return (
+        DelegateAccepted(sent.number)
+        if isinstance(sent, _WireAccepted)
+        else DelegateCancel(sent.number)
+    )
--- a/rhubarbhinge/delegation/_server.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -8,12 +8,12 @@
 
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
-    Cancel,
+    AttemptGrant,
+    AttemptRequest,
+    DelegateAccepted,
+    DelegateCancel,
     DelegateReply,
     DelegateRequest,
-    Leave,
-    LeaveWanted,
-    Taken,
 )
 from rhubarbhinge.delegation._remote_attempt_control import RemoteAttemptControl
 from rhubarbhinge.fleet import Delays
@@ -98,7 +98,7 @@
 
     def _on_message(self, link: int, state: _Link, message: object) -> None:
         if isinstance(message, DelegateRequest):
-            self._send(link, Taken(message.number))
+            self._send(link, DelegateAccepted(message.number))
             self._links.flush(link)
             delays = self._delays_of(message.route, message.target_latency_ms)
             search = _DelegatedSearch(
@@ -108,18 +108,18 @@
                 delays,
                 lambda reply: self._send_reply(link, state, reply),
                 lambda services, news: self._send(
-                    link, LeaveWanted(message.number, services, news.ended, news.replied)
+                    link, AttemptRequest(message.number, services, news.ended, news.replied)
                 ),
             )
             state.searches[message.number] = search
             # Messages received together with this one are processed first, as opening connections
             # takes up to 20 ms per request, which would delay the acceptance of the others.
             self._timers.after(0, search.start)
-        elif isinstance(message, Cancel):
+        elif isinstance(message, DelegateCancel):
             search = state.searches.pop(message.number, None)
             if search is not None:
                 search.cancel()
-        elif isinstance(message, Leave):
+        elif isinstance(message, AttemptGrant):
             search = state.searches.get(message.number)
             if search is not None:
                 search.attempts.grant(message.services)
@@ -132,7 +132,7 @@
                 del state.searches[reply.number]
             self._send(link, reply)
 
-    def _send(self, link: int, message: Taken | DelegateReply | LeaveWanted) -> None:
+    def _send(self, link: int, message: DelegateAccepted | DelegateReply | AttemptRequest) -> None:
         state = self._by_link.get(link)
         if state is not None:
             self._links.send(link, state.codec.encode(message))
--- a/rhubarbhinge/delegation/tests/test_link_codec.py
+++ b/rhubarbhinge/delegation/tests/test_link_codec.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.delegation import Cancel, DelegateReply, DelegateRequest, LinkCodec
+from rhubarbhinge.delegation import DelegateCancel, DelegateReply, DelegateRequest, LinkCodec
 from rhubarbhinge.net import MAX_FRAME_BYTES, FrameError, frame
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None)
@@ -60,5 +60,9 @@
     def test_directions_are_independent(self):
         one, other = LinkCodec(), LinkCodec()
         for number in range(5):
-            self.assertEqual(other.feed(one.encode(Cancel(number))), [Cancel(number)])
-            self.assertEqual(one.feed(other.encode(Cancel(number))), [Cancel(number)])
+            self.assertEqual(
+                other.feed(one.encode(DelegateCancel(number))), [DelegateCancel(number)]
+            )
+            self.assertEqual(
+                one.feed(other.encode(DelegateCancel(number))), [DelegateCancel(number)]
+            )
--- a/rhubarbhinge/delegation/tests/test_messages.py
+++ b/rhubarbhinge/delegation/tests/test_messages.py
@@ -9,12 +9,12 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.delegation import (
-    Cancel,
+    AttemptGrant,
+    AttemptRequest,
+    DelegateAccepted,
+    DelegateCancel,
     DelegateReply,
     DelegateRequest,
-    Leave,
-    LeaveWanted,
-    Taken,
     decode_message,
     encode_message,
 )
@@ -42,7 +42,12 @@
         self.assertEqual(decode_message(encode_message(reply)), reply)
 
     def test_short_messages_round_trip(self):
-        for message in (Taken(3), Cancel(4), LeaveWanted(5, ("s", "t")), Leave(6, ())):
+        for message in (
+            DelegateAccepted(3),
+            DelegateCancel(4),
+            AttemptRequest(5, ("s", "t")),
+            AttemptGrant(6, ()),
+        ):
             self.assertEqual(decode_message(encode_message(message)), message)
 
     @given(st.binary(max_size=120))
