--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -170,7 +170,7 @@
                 self._open(ip, failure_domain)
         return addresses
 
-    def ask(
+    def send(
         self, ip: str, request: DelegateRequest, on_reply: OnReply, grant: GrantAttempts
     ) -> DelegateCall:
         """Send a request to an entry.
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -66,7 +66,7 @@
             return self._send_directly(exchange, on_outcome)
         attempt = _DelegatedAttempt(self._timers, next(self._numbers), exchange, on_outcome)
         request = _request_for(exchange, self._timers.now_ms())
-        attempt.call = self._delegates.ask(
+        attempt.call = self._delegates.send(
             addresses[0], request, attempt.on_reply, attempt.deny_attempts
         )
         return attempt
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -80,7 +80,7 @@
 
     def start_request(self) -> DelegateClient:
         delegates = self.delegates(self.server._links.bound_port)
-        self.call = delegates.ask(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        self.call = delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
         self.wait(lambda: len(self.world.attempts) == 2)
         return delegates
 
@@ -109,7 +109,7 @@
         for name in ("s1-1", "s1-2"):
             self.world.observed(name).on_unreachable()
         delegates = self.delegates(self.server._links.bound_port)
-        delegates.ask(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
         self.wait(lambda: len(self.world.attempts) == 1)
         self.world.attempts[0].end(replied())
         self.wait(lambda: self.replies)
@@ -118,7 +118,9 @@
     def test_partial_reply_is_sent_when_due(self):
         delegates = self.delegates(self.server._links.bound_port)
         address = self.open(delegates)
-        delegates.ask(address, replace(REQUEST, answer_in_ms=50.0), self.replies.append, self.grant)
+        delegates.send(
+            address, replace(REQUEST, answer_in_ms=50.0), self.replies.append, self.grant
+        )
         self.wait(lambda: len(self.world.attempts) == 2)
         self.world.attempts[0].end(replied())
         self.wait(lambda: self.replies)
@@ -136,7 +138,7 @@
 
     def test_cancel_after_a_partial_reply_stops_the_rest(self):
         delegates = self.delegates(self.server._links.bound_port)
-        call = delegates.ask(
+        call = delegates.send(
             self.open(delegates),
             replace(REQUEST, answer_in_ms=50.0),
             self.replies.append,
@@ -184,7 +186,7 @@
             ("127.0.0.1", 0),
         ).register(self.root)
         delegates = self.delegates(silent.bound_port)
-        delegates.ask(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(self.replies, [None])
         self.assertEqual(delegates.choose("hall-b", 1), [])
@@ -208,19 +210,19 @@
         # Otherwise it is sent at the end of the loop iteration, after connections to the searchers
         # of this entry's own shards were opened, when most of its 30 ms timeout has passed.
         delegates = self.delegates(self.server._links.bound_port)
-        delegates.ask(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
         self.assertEqual(delegates._links.pending_bytes, 0)
 
     def test_request_due_at_once_is_still_searched(self):
         delegates = self.delegates(self.server._links.bound_port)
         request = replace(REQUEST, answer_in_ms=0.0)
-        delegates.ask(self.open(delegates), request, self.replies.append, self.grant)
+        delegates.send(self.open(delegates), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(set(self.replies[0].pending), {"s0", "s1"})
 
     def test_request_cancelled_before_its_start_contacts_no_searcher(self):
         delegates = self.delegates(self.server._links.bound_port)
-        call = delegates.ask(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        call = delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
         call.cancel()
         run_until(self.root, lambda: False, 0.1)
         running = [attempt for attempt in self.world.attempts if not attempt.cancelled]
@@ -231,7 +233,7 @@
         self.server._send_reply = lambda link, state, reply: None
         delegates = self.delegates(self.server._links.bound_port)
         request = replace(REQUEST, answer_in_ms=60.0)
-        delegates.ask(self.open(delegates), request, self.replies.append, self.grant)
+        delegates.send(self.open(delegates), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(self.replies, [None])
         self.wait(lambda: all(attempt.cancelled for attempt in self.world.attempts))
@@ -239,7 +241,7 @@
     def test_pending_shards_may_follow_a_partial_reply_late(self):
         delegates = self.delegates(self.server._links.bound_port)
         request = replace(REQUEST, answer_in_ms=30.0)
-        delegates.ask(self.open(delegates), request, self.replies.append, self.grant)
+        delegates.send(self.open(delegates), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         run_until(self.root, lambda: False, 0.2)
         self.assertEqual(len(self.replies), 1)
@@ -253,14 +255,14 @@
         address = self.open(delegates)
         single = replace(REQUEST, services=("s0",), searcher="s0-1")
         for request in (single, REQUEST):
-            delegates.ask(address, request, self.replies.append, self.grant)
+            delegates.send(address, request, self.replies.append, self.grant)
         self.wait(lambda: len(self.world.attempts) == 3)
         self.assertEqual(counted, [("s0", "s1")])
 
     def test_attempt_request_after_the_due_time_is_no_failure(self):
         delegates = self.delegates(self.server._links.bound_port)
         request = replace(REQUEST, answer_in_ms=20.0)
-        delegates.ask(self.open(delegates), request, self.replies.append, self.grant)
+        delegates.send(self.open(delegates), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(set(self.replies[0].pending), {"s0", "s1"})
         run_until(self.root, lambda: False, 0.1)
@@ -302,7 +304,7 @@
             for call in calls:
                 call.cancel()
 
-        calls += [delegates.ask(address, REQUEST, failed, self.grant) for _ in range(3)]
+        calls += [delegates.send(address, REQUEST, failed, self.grant) for _ in range(3)]
         self.wait(lambda: len(self.world.attempts) == 6)
         for link in list(self.server._by_link):
             self.server._links.abort(link)
--- a/rhubarbhinge/delegation/tests/test_delegated_sender.py
+++ b/rhubarbhinge/delegation/tests/test_delegated_sender.py
@@ -22,7 +22,7 @@
     def choose(self, failure_domain: str, count: int) -> list[str]:
         return self.ready[:count] if failure_domain == "hall-b" else []
 
-    def ask(self, ip: str, request: DelegateRequest, on_reply, grant):
+    def send(self, ip: str, request: DelegateRequest, on_reply, grant):
         self.requests.append(request)
         self.reply, self.grant = on_reply, grant
         return self
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_far_search.py
@@ -83,7 +83,7 @@
             answer_in_ms=max(0.0, terms.answer_by_ms - now_ms - ANSWER_MARGIN_MS),
             left_ms=max(0.0, terms.call.deadline_ms - now_ms),
         )
-        return delegates.ask(address, message, lambda answer: on_part(_part(answer)), grant)
+        return delegates.send(address, message, lambda answer: on_part(_part(answer)), grant)
 
     return FarSearch(shards_for, ask)
 
