--- a/rhubarbhinge/delegation/_server.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -64,7 +64,7 @@
         self._links = Links(self._opened, self._received, self._closed, bind).register(self)
 
     @property
-    def open_asks(self) -> int:
+    def active_requests(self) -> int:
         """Number of requests in progress, which a graceful shutdown waits for."""
         return sum(len(link.searches) for link in self._by_link.values())
 
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -94,7 +94,7 @@
         self.assertEqual(reply.services, ("s0", "s1"))
         self.assertEqual(reply.signatures, ("sig-s0", "sig-s1"))
         self.assertEqual(reply.body, b"s1" * 8 + b"s0" * 8)
-        self.assertEqual(self.server.open_asks, 0)
+        self.assertEqual(self.server.active_requests, 0)
 
     def test_prepared_links_serve_the_first_search(self):
         """Guards against the first searches of a new entry going to all shards directly. That
@@ -134,7 +134,7 @@
         self.assertEqual(self.replies[1].services, (second.service,))
         self.assertEqual(self.replies[1].pending, ())
         self.assertEqual(self.replies[1].body, b"late" * 4)
-        self.assertEqual(self.server.open_asks, 0)
+        self.assertEqual(self.server.active_requests, 0)
 
     def test_cancel_after_a_partial_reply_stops_the_rest(self):
         delegates = self.delegates(self.server._links.bound_port)
@@ -147,7 +147,7 @@
         self.wait(lambda: self.replies)
         call.cancel()
         self.wait(lambda: all(attempt.cancelled for attempt in self.world.attempts))
-        self.assertEqual(self.server.open_asks, 0)
+        self.assertEqual(self.server.active_requests, 0)
 
     def test_second_attempt_waits_for_permission(self):
         self.hedge_ms = 5.0
@@ -176,7 +176,7 @@
         self.start_request()
         self.call.cancel()
         self.wait(lambda: all(attempt.cancelled for attempt in self.world.attempts))
-        self.assertEqual((self.replies, self.server.open_asks), ([], 0))
+        self.assertEqual((self.replies, self.server.active_requests), ([], 0))
 
     def test_request_that_is_not_accepted_fails(self):
         silent = Links(
@@ -226,7 +226,7 @@
         call.cancel()
         run_until(self.root, lambda: False, 0.1)
         running = [attempt for attempt in self.world.attempts if not attempt.cancelled]
-        self.assertEqual((running, self.replies, self.server.open_asks), ([], [], 0))
+        self.assertEqual((running, self.replies, self.server.active_requests), ([], [], 0))
 
     def test_missing_reply_after_acceptance_fails_the_request(self):
         # E.g. a process that is frozen or starved of CPU, whose kernel still acknowledges packets.
--- a/rhubarbhinge/gateway/_shutdown.py
+++ b/rhubarbhinge/gateway/_shutdown.py
@@ -54,7 +54,7 @@
     def _look(self) -> None:
         now_ms = self._timers.now_ms()
         late = now_ms >= self._end_by_ms
-        open_work = self._callers.open_requests + self._asks.open_asks
+        open_work = self._callers.open_requests + self._asks.active_requests
         unsent_bytes = self._callers.unsent_bytes + self._asks.unsent_bytes
         answered = open_work == 0 and unsent_bytes == 0
         if late or (answered and now_ms >= self._quiet_at_ms):
