--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -5,7 +5,7 @@
 fewer callers, each of which knows more about its load.
 """
 
-from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, DelegateCall, DelegateClient
+from rhubarbhinge.delegation._client import REPLY_MARGIN_MS, DelegateCall, DelegateClient
 from rhubarbhinge.delegation._delegated_sender import DelegatedSender
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
@@ -21,7 +21,7 @@
 from rhubarbhinge.delegation._server import DelegateServer
 
 __all__ = [
-    "ANSWER_MARGIN_MS",
+    "REPLY_MARGIN_MS",
     "DelegateReply",
     "DelegateRequest",
     "DelegateServer",
--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -28,7 +28,7 @@
 
 ACCEPT_TIMEOUT_MS = 30.0
 """Timeout for the acceptance of a request, which takes a round trip of 2 to 3 ms."""
-ANSWER_MARGIN_MS = 6.0
+REPLY_MARGIN_MS = 6.0
 """A delegate is asked to reply this much before its reply is needed, to allow for the transfer
 between the domains and for processing time at both ends."""
 CONNECT_TIMEOUT_MS = 350.0
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -3,7 +3,7 @@
 import itertools
 from collections.abc import Callable
 
-from rhubarbhinge.delegation._client import ANSWER_MARGIN_MS, DelegateCall, DelegateClient
+from rhubarbhinge.delegation._client import REPLY_MARGIN_MS, DelegateCall, DelegateClient
 from rhubarbhinge.delegation._messages import DelegateReply, DelegateRequest
 from rhubarbhinge.forward import (
     Attempt,
@@ -74,7 +74,7 @@
 
 def _request_for(exchange: Exchange, now_ms: float) -> DelegateRequest:
     left_ms = max(0.0, exchange.deadline_ms - now_ms)
-    answer_in_ms = exchange.due_ms - now_ms - ANSWER_MARGIN_MS
+    answer_in_ms = exchange.due_ms - now_ms - REPLY_MARGIN_MS
     request = exchange.request
     return DelegateRequest(
         number=0,
