--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -185,7 +185,7 @@
         link = self._by_ip[ip]
         timer = self._timers.after(ACCEPT_TIMEOUT_MS, lambda: self._on_timeout(number, "not-taken"))
         now_ms = self._timers.now_ms()
-        due_ms = now_ms + request.answer_in_ms + REPLY_GRACE_MS
+        due_ms = now_ms + request.reply_after_ms + REPLY_GRACE_MS
         self._calls[number] = _Call(
             link, ip, request.request_id, on_reply, grant, timer, now_ms, due_ms
         )
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -74,7 +74,7 @@
 
 def _request_for(exchange: Exchange, now_ms: float) -> DelegateRequest:
     left_ms = max(0.0, exchange.deadline_ms - now_ms)
-    answer_in_ms = exchange.due_ms - now_ms - REPLY_MARGIN_MS
+    reply_after_ms = exchange.due_ms - now_ms - REPLY_MARGIN_MS
     request = exchange.request
     return DelegateRequest(
         number=0,
@@ -88,7 +88,7 @@
         max_attempts=1,
         target_latency_ms=exchange.search.target_latency_ms,
         # If the reply is overdue already, it is sent as soon as it is complete.
-        answer_in_ms=answer_in_ms if answer_in_ms > 0 else left_ms,
+        reply_after_ms=reply_after_ms if reply_after_ms > 0 else left_ms,
         left_ms=left_ms,
         searcher=exchange.searcher.searcher.incarnation,
         searcher_started_unix_ms=exchange.searcher.searcher.started_unix_ms,
--- a/rhubarbhinge/delegation/_messages.py
+++ b/rhubarbhinge/delegation/_messages.py
@@ -27,7 +27,7 @@
     :param priority: priority of the request.
     :param max_attempts: most searchers of each shard that may execute the request.
     :param target_latency_ms: the route's latency objective.
-    :param answer_in_ms: time after which to reply with the results so far.
+    :param reply_after_ms: time after which to reply with the results so far.
     :param left_ms: time until the caller's deadline.
     :param searcher: incarnation of the only searcher that may get the request, in a single attempt
         that the requesting entry has counted in its retry budget; empty for any searcher.
@@ -45,7 +45,7 @@
     priority: int
     max_attempts: int
     target_latency_ms: float
-    answer_in_ms: float
+    reply_after_ms: float
     left_ms: float
     searcher: str = ""
     searcher_started_unix_ms: int | None = None
@@ -138,7 +138,7 @@
     priority: Rank
     max_attempts: Count
     target_latency_ms: Milliseconds
-    answer_in_ms: Milliseconds
+    reply_after_ms: Milliseconds
     left_ms: Milliseconds
     searcher: str = ""
     searcher_started_unix_ms: Count | None = None
@@ -230,7 +230,7 @@
             message.priority,
             message.max_attempts,
             message.target_latency_ms,
-            round(message.answer_in_ms, 1),
+            round(message.reply_after_ms, 1),
             round(message.left_ms, 1),
             message.searcher,
             message.searcher_started_unix_ms,
@@ -266,7 +266,7 @@
             sent.priority,
             sent.max_attempts,
             sent.target_latency_ms,
-            sent.answer_in_ms,
+            sent.reply_after_ms,
             sent.left_ms,
             sent.searcher,
             sent.searcher_started_unix_ms,
--- a/rhubarbhinge/delegation/_server.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -178,7 +178,7 @@
         self._calls = ShardCalls(
             surroundings, caller_request, terms, delays, self._on_shard_end, self._story
         )
-        self._due_ms = surroundings.timers.now_ms() + request.answer_in_ms
+        self._due_ms = surroundings.timers.now_ms() + request.reply_after_ms
         self._timer: Subscription | None = None
 
     def start(self) -> None:
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -119,7 +119,7 @@
         delegates = self.delegates(self.server._links.bound_port)
         address = self.open(delegates)
         delegates.send(
-            address, replace(REQUEST, answer_in_ms=50.0), self.replies.append, self.grant
+            address, replace(REQUEST, reply_after_ms=50.0), self.replies.append, self.grant
         )
         self.wait(lambda: len(self.world.attempts) == 2)
         self.world.attempts[0].end(replied())
@@ -140,7 +140,7 @@
         delegates = self.delegates(self.server._links.bound_port)
         call = delegates.send(
             self.open(delegates),
-            replace(REQUEST, answer_in_ms=50.0),
+            replace(REQUEST, reply_after_ms=50.0),
             self.replies.append,
             self.grant,
         )
@@ -215,7 +215,7 @@
 
     def test_request_due_at_once_is_still_searched(self):
         delegates = self.delegates(self.server._links.bound_port)
-        request = replace(REQUEST, answer_in_ms=0.0)
+        request = replace(REQUEST, reply_after_ms=0.0)
         delegates.send(self.open(delegates), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(set(self.replies[0].pending), {"s0", "s1"})
@@ -232,7 +232,7 @@
         # E.g. a process that is frozen or starved of CPU, whose kernel still acknowledges packets.
         self.server._send_reply = lambda link, state, reply: None
         delegates = self.delegates(self.server._links.bound_port)
-        request = replace(REQUEST, answer_in_ms=60.0)
+        request = replace(REQUEST, reply_after_ms=60.0)
         delegates.send(self.open(delegates), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(self.replies, [None])
@@ -240,7 +240,7 @@
 
     def test_pending_shards_may_follow_a_partial_reply_late(self):
         delegates = self.delegates(self.server._links.bound_port)
-        request = replace(REQUEST, answer_in_ms=30.0)
+        request = replace(REQUEST, reply_after_ms=30.0)
         delegates.send(self.open(delegates), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         run_until(self.root, lambda: False, 0.2)
@@ -261,7 +261,7 @@
 
     def test_attempt_request_after_the_due_time_is_no_failure(self):
         delegates = self.delegates(self.server._links.bound_port)
-        request = replace(REQUEST, answer_in_ms=20.0)
+        request = replace(REQUEST, reply_after_ms=20.0)
         delegates.send(self.open(delegates), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(set(self.replies[0].pending), {"s0", "s1"})
--- a/rhubarbhinge/delegation/tests/test_delegated_sender.py
+++ b/rhubarbhinge/delegation/tests/test_delegated_sender.py
@@ -79,7 +79,7 @@
         (request,) = self.delegates.requests
         self.assertEqual((request.services, request.max_attempts, request.top_k), (("s0",), 1, 5))
         self.assertEqual(request.searcher, "far")
-        self.assertEqual((request.answer_in_ms, request.left_ms), (84.0, 1_000.0))
+        self.assertEqual((request.reply_after_ms, request.left_ms), (84.0, 1_000.0))
         self.assertEqual(self.delegates.grant(("s0",), FarNews()), ())
         self.assertEqual(len(self.far.started_ms), 1)
         self.world.timers.advance(25.0)
--- a/rhubarbhinge/gateway/_call_terms.py
+++ b/rhubarbhinge/gateway/_call_terms.py
@@ -80,7 +80,7 @@
         now_ms,
         now_ms + ask.left_ms,
         delays,
-        now_ms + ask.answer_in_ms,
+        now_ms + ask.reply_after_ms,
         ask.top_k,
         ask.searcher,
         ask.searcher_started_unix_ms,
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_far_search.py
@@ -80,7 +80,7 @@
             priority=terms.call.priority,
             max_attempts=terms.call.max_attempts,
             target_latency_ms=terms.target_latency_ms,
-            answer_in_ms=max(0.0, terms.answer_by_ms - now_ms - REPLY_MARGIN_MS),
+            reply_after_ms=max(0.0, terms.answer_by_ms - now_ms - REPLY_MARGIN_MS),
             left_ms=max(0.0, terms.call.deadline_ms - now_ms),
         )
         return delegates.send(address, message, lambda answer: on_part(_part(answer)), grant)
