--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -13,7 +13,7 @@
 from rhubarbhinge.forward import Lost, Surroundings, Why
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
 from rhubarbhinge.gather import FarNews
-from rhubarbhinge.members import Member, Membership, MemberState, Published
+from rhubarbhinge.members import Member, Membership, MemberState, PublishedStatus
 from rhubarbhinge.net import Links
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.testing import run_until, stop_tree
@@ -60,7 +60,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(0), -1.0),
+            lambda: PublishedStatus(at(0), -1.0),
         )
         self.membership.on_members([OTHER])
         reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
--- a/rhubarbhinge/gateway/tests/test_cold_shares.py
+++ b/rhubarbhinge/gateway/tests/test_cold_shares.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.fleet import Fleet, Searcher, best_searcher
 from rhubarbhinge.gateway._cold_shares import JOINED_MS, ColdShares
 from rhubarbhinge.gateway.tests.simulated_cold import MOST, RULE, WARMUP_MS, ColdWorld, Plan
-from rhubarbhinge.members import Member, Membership, Published
+from rhubarbhinge.members import Member, Membership, PublishedStatus
 from rhubarbhinge.members.tests.simulated import even_domains
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import at
@@ -42,7 +42,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(1), 0.0),
+            lambda: PublishedStatus(at(1), 0.0),
         )
         for number, other in ((2, "hall-a"), (3, "hall-a"), (4, "hall-b")):
             membership._take(Member(f"vm-{number}", f"10.0.0.{number}", other, number))
--- a/rhubarbhinge/members/__init__.py
+++ b/rhubarbhinge/members/__init__.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.members._member import Member, MemberState, supersedes
 from rhubarbhinge.members._member_table import MemberTable
 from rhubarbhinge.members._members_codec import MembersError, decode_members, encode_members
-from rhubarbhinge.members._membership import Membership, Published
+from rhubarbhinge.members._membership import Membership, PublishedStatus
 from rhubarbhinge.members._table_sync import TableSync
 
 __all__ = [
@@ -20,7 +20,7 @@
     "MemberTable",
     "MembersError",
     "Membership",
-    "Published",
+    "PublishedStatus",
     "TableSync",
     "decode_heartbeat",
     "decode_members",
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -60,7 +60,7 @@
 """Sends a heartbeat to an IP address."""
 
 
-class Published(NamedTuple):
+class PublishedStatus(NamedTuple):
     """The published state that this entry has.
 
     :ivar revision: its revision.
@@ -111,7 +111,7 @@
         seed_ips: Iterable[str],
         rng: random.Random,
         send: Send,
-        published: Callable[[], Published],
+        published: Callable[[], PublishedStatus],
     ):
         self._timers = timers
         self.me = me
--- a/rhubarbhinge/members/tests/simulated.py
+++ b/rhubarbhinge/members/tests/simulated.py
@@ -9,7 +9,7 @@
     Heartbeat,
     Member,
     Membership,
-    Published,
+    PublishedStatus,
     TableSync,
     encode_heartbeat,
 )
@@ -40,7 +40,7 @@
         rng = random.Random(fleet.rng.getrandbits(64))
         me = Member(name, ip, domain, fleet.rng.getrandbits(32))
         self.membership = Membership(
-            self, me, seeds, rng, self._send, lambda: Published(at(1), 0.0)
+            self, me, seeds, rng, self._send, lambda: PublishedStatus(at(1), 0.0)
         )
         self.sync = TableSync(self.now_ms, self._fetch)
 
--- a/rhubarbhinge/members/tests/test_membership.py
+++ b/rhubarbhinge/members/tests/test_membership.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from rhubarbhinge.members import Member, Membership, MemberState, Published, encode_heartbeat
+from rhubarbhinge.members import Member, Membership, MemberState, PublishedStatus, encode_heartbeat
 from rhubarbhinge.members.tests.simulated import UDP_BYTES, Fleet, Node, even_domains
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import at
@@ -278,7 +278,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: sent.append(len(encode_heartbeat(heartbeat)) + UDP_BYTES),
-            lambda: Published(at(1), 0.0),
+            lambda: PublishedStatus(at(1), 0.0),
         )
         for domain, names in domains.items():
             for number, other in enumerate(names):
--- a/rhubarbhinge/peers/_reports.py
+++ b/rhubarbhinge/peers/_reports.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from rhubarbhinge.members import Member, Published
+from rhubarbhinge.members import Member, PublishedStatus
 from rhubarbhinge.utils.revision import Revision
 
 FRESH_MS = 3_500.0
@@ -25,7 +25,7 @@
     at_ms: float
     plan_version: int = 0
 
-    def is_ahead_of(self, known: Published) -> bool:
+    def is_ahead_of(self, known: PublishedStatus) -> bool:
         """Tell whether its state holds what is not known here.
 
         The configuration counts by itself: the platform may have lost a version that some have. A
@@ -61,7 +61,7 @@
         report = self._by_name.get(name)
         return None if report is None or now_ms - report.at_ms > FRESH_MS else report
 
-    def level(self, known: Published, now_ms: float) -> list[Report]:
+    def level(self, known: PublishedStatus, now_ms: float) -> list[Report]:
         """Give the reports of entries that are just as far, and confirmed.
 
         :param known: what is known here.
@@ -76,7 +76,7 @@
             and now_ms - report.at_ms <= FRESH_MS
         ]
 
-    def ahead(self, known: Published, now_ms: float) -> list[Report]:
+    def ahead(self, known: PublishedStatus, now_ms: float) -> list[Report]:
         """Give the reports of entries that are further, and forget old ones.
 
         :param known: what is known here.
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -5,7 +5,7 @@
 
 from msgspec.structs import replace
 
-from rhubarbhinge.members import Member, Membership, MemberState, Published
+from rhubarbhinge.members import Member, Membership, MemberState, PublishedStatus
 from rhubarbhinge.peers import KnownState, Report, Reports, SharedSource, encode_state
 from rhubarbhinge.published import Changes, ReadFault, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
@@ -52,7 +52,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(40), 0.0),
+            lambda: PublishedStatus(at(40), 0.0),
         )
         self.reports = Reports()
         self.source = SharedSource(self.timers, self.client, self.store, "vm-2", "hall-a", 7380)
--- a/rhubarbhinge/peers/tests/test_state_service.py
+++ b/rhubarbhinge/peers/tests/test_state_service.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.fleet import Fleet, Searcher
-from rhubarbhinge.members import Member, Membership, Published
+from rhubarbhinge.members import Member, Membership, PublishedStatus
 from rhubarbhinge.peers import decode_state
 from rhubarbhinge.peers._known_state import PLAN_PARAMETER, SEARCHERS_PARAMETER
 from rhubarbhinge.peers._paths import CHANGES_PATH, MEMBERS_PATH, STATE_PATH
@@ -38,7 +38,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(at(0), -1.0),
+            lambda: PublishedStatus(at(0), -1.0),
         )
         self.service = StateService(self.timers, self.follower, membership, lambda: True)
         self.follower.start()
--- a/rhubarbhinge/published/tests/test_restore_schedules.py
+++ b/rhubarbhinge/published/tests/test_restore_schedules.py
@@ -17,7 +17,7 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.fleet import Fleet, Searcher
-from rhubarbhinge.members import Member, Published
+from rhubarbhinge.members import Member, PublishedStatus
 from rhubarbhinge.peers import Report
 from rhubarbhinge.plans import CallerLimits, ServingPlan
 from rhubarbhinge.published import Changes, Evacuation, Follower, ReadFault, Snapshot
@@ -190,9 +190,9 @@
         self.asked, self.answer = asked, on_done
         self.calls_ms.append(self.timers.now_ms())
 
-    def published(self) -> Published:
+    def published(self) -> PublishedStatus:
         version = self.follower.plan.version if self.follower.plan else 0
-        return Published(self.follower.revision, self.follower.age_ms(), version)
+        return PublishedStatus(self.follower.revision, self.follower.age_ms(), version)
 
     def outcome(self, platform: Platform) -> Changes | Snapshot | ReadFault:
         if self.asked is not None and self.wants_all:
