--- a/rhubarbhinge/gateway/_cold_shares.py
+++ b/rhubarbhinge/gateway/_cold_shares.py
@@ -75,7 +75,7 @@
     def _share(self, observed: ObservedSearcher, most: int) -> int:
         membership = self._membership
         domain = observed.searcher.failure_domain
-        names = membership.may_be_sending(domain) or membership.may_be_sending()
+        names = membership.potential_senders(domain) or membership.potential_senders()
         me = membership.me.name
         if me not in names or not membership.hears_others:
             # One that hears nobody does not know among how many it would share.
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -184,7 +184,7 @@
         """Whether any other entry is present."""
         return self.table.present_count() > 0
 
-    def may_be_sending(self, failure_domain: str = "") -> list[str]:
+    def potential_senders(self, failure_domain: str = "") -> list[str]:
         """Return the entries that may be sending requests, including unreachable ones.
 
         :param failure_domain: the failure domain; empty for all.
