--- a/rhubarbhinge/gateway/_cold_shares.py
+++ b/rhubarbhinge/gateway/_cold_shares.py
@@ -77,7 +77,7 @@
         domain = observed.searcher.failure_domain
         names = membership.potential_senders(domain) or membership.potential_senders()
         me = membership.me.name
-        if me not in names or not membership.hears_others:
+        if me not in names or not membership.has_peers:
             # One that hears nobody does not know among how many it would share.
             return 0
         if len(names) <= most:
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -180,7 +180,7 @@
         return 1 + present + len(self.table.lost_since(since_ms))
 
     @property
-    def hears_others(self) -> bool:
+    def has_peers(self) -> bool:
         """Whether any other entry is present."""
         return self.table.present_count() > 0
 
