--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -195,7 +195,7 @@
         members += [self.me, *self.table.lost_since(self._timers.now_ms() - LOST_COUNTED_MS)]
         return [one.name for one in members if failure_domain in ("", one.failure_domain)]
 
-    def known_for_ms(self, name: str) -> float:
+    def present_for_ms(self, name: str) -> float:
         """Return how long this entry has known another one to be present without interruption.
 
         :param name: its name.
--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -257,7 +257,7 @@
             # entry that does not read says so at once.
             return self._up_ms() >= KNOW_MS or (report is not None and report.age_ms >= 0)
         if report is None:
-            return self._membership.known_for_ms(member.name) >= SETTLED_MS
+            return self._membership.present_for_ms(member.name) >= SETTLED_MS
         return 0 <= report.age_ms <= MOST_AGE_MS
 
     def _asked(
--- a/rhubarbhinge/peers/tests/telling.py
+++ b/rhubarbhinge/peers/tests/telling.py
@@ -73,7 +73,7 @@
     def live(self, failure_domain: str) -> list[Member]:
         return self._readers
 
-    def known_for_ms(self, name: str) -> float:
+    def present_for_ms(self, name: str) -> float:
         return float("inf")
 
 
