--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -236,7 +236,7 @@
         if state is None:
             return
         self._reach.on_heard(state.failure_domain)
-        self._membership.on_work(state.failure_domain)
+        self._membership.on_domain_contact(state.failure_domain)
         try:
             for message in state.codec.feed(data):
                 self._on_message(message)
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -146,7 +146,7 @@
     def live(self, failure_domain: str) -> list[Member]:
         return [member for member in self._others if member.failure_domain == failure_domain]
 
-    def on_work(self, failure_domain: str) -> None:
+    def on_domain_contact(self, failure_domain: str) -> None:
         pass
 
 
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -255,7 +255,7 @@
             self._take(update)
         self._queue_gossip(self.me)
 
-    def on_work(self, failure_domain: str) -> None:
+    def on_domain_contact(self, failure_domain: str) -> None:
         """Record a response from an entry of another failure domain to a request.
 
         :param failure_domain: that entry's failure domain.
--- a/rhubarbhinge/members/tests/test_membership.py
+++ b/rhubarbhinge/members/tests/test_membership.py
@@ -284,7 +284,7 @@
             for number, other in enumerate(names):
                 ip = f"10.{domain[-1]}.{number >> 8}.{number & 255}"
                 membership.table.apply(Member(other, ip, domain, number), 0.0)
-                membership.on_work(domain)
+                membership.on_domain_contact(domain)
         membership.start()
         timers.advance(2_000.0)
         self.assertLess(len(sent), 2 * (3 + 6) + 2)
