--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -267,7 +267,7 @@
         now_ms = self._resumed_ms = self._timers.now_ms()
         self._watched_since_ms = dict.fromkeys(self._watched_since_ms, now_ms)
 
-    def tell(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send heartbeats now, because their content has changed."""
         updates, _ = self._gossip_queue.next_round()
         local = self.table.present(self.me.failure_domain)
@@ -288,7 +288,7 @@
         """Announce that this entry is shutting down."""
         self.me = replace(self.me, state=MemberState.LEFT)
         self._queue_gossip(self.me)
-        self.tell()
+        self.send_heartbeats()
 
     # Periodic tasks.
 
@@ -300,7 +300,7 @@
         self._heartbeat_count += 1
         self.table.purge_ended(self._timers.now_ms() - LOST_COUNTED_MS)
         self._check_predecessors()
-        self.tell()
+        self.send_heartbeats()
         self._probe_silent()
 
     def _check_predecessors(self) -> None:
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -105,7 +105,7 @@
 
     def tell_plan(self) -> None:
         """Tell the others at the end of this turn that there is something new."""
-        self._timers.after(0, self.membership.tell)
+        self._timers.after(0, self.membership.send_heartbeats)
 
     def leave(self) -> None:
         """Tell the others that this entry is stopping."""
