--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -60,7 +60,7 @@
     def all_live(self) -> list[Member]:
         return self._others
 
-    def send_to(self, ip: str) -> None:
+    def send_heartbeat(self, ip: str) -> None:
         self._world.carry(self.me.name, ip)
 
 
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -277,7 +277,7 @@
             self._send(ip, updates)
         self._send_to_other_domains(updates)
 
-    def send_to(self, ip: str) -> None:
+    def send_heartbeat(self, ip: str) -> None:
         """Send a heartbeat to an entry now, for the data piggybacked on it.
 
         :param ip: the entry's IP address.
--- a/rhubarbhinge/peers/_quarantine_news.py
+++ b/rhubarbhinge/peers/_quarantine_news.py
@@ -94,4 +94,4 @@
             most = NEAR_RECEIVERS if domain == own else FAR_RECEIVERS
             live = membership.live(domain)
             for member in self._rng.sample(live, min(most, len(live))):
-                membership.send_to(member.ip)
+                membership.send_heartbeat(member.ip)
