--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -247,7 +247,7 @@
 
     def _settings_changed(self, settings: EntrySettings) -> None:
         self._budget.rule = settings.retry_budget
-        self._peers.membership.follow_seeds(settings.seed_ips)
+        self._peers.membership.set_seeds(settings.seed_ips)
 
     def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
         return ask_terms(ask, delays, self.timers.now_ms())
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -220,7 +220,7 @@
         if retry_ms < HEARTBEAT_MS:
             self._timers.after(retry_ms, lambda: self._contact_seeds(2 * retry_ms))
 
-    def follow_seeds(self, seed_ips: Iterable[str]) -> None:
+    def set_seeds(self, seed_ips: Iterable[str]) -> None:
         """Replace the seeds.
 
         :param seed_ips: IP addresses of entries to contact.
