--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -255,8 +255,8 @@
     def _processes(self) -> int:
         now_ms = self.timers.now_ms()
         if now_ms < self._settled_at_ms:
-            return max(ASSUMED_PROCESSES, self._peers.membership.processes())
-        return self._peers.membership.processes()
+            return max(ASSUMED_PROCESSES, self._peers.membership.process_count())
+        return self._peers.membership.process_count()
 
     def _most_connections(self, observed: ObservedSearcher) -> int:
         return self._share(observed)
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -166,7 +166,7 @@
         """
         return [member for domain in self.table.domains() for member in self.live(domain)]
 
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """Count the entries that may be sending requests, including this one.
 
         :returns: the number of entries present or heard from within ``LOST_COUNTED_MS``.
--- a/rhubarbhinge/members/tests/test_membership.py
+++ b/rhubarbhinge/members/tests/test_membership.py
@@ -39,7 +39,7 @@
         for members in (1, 2, 6, 8, 73):
             self.fleet(members)
             self.assert_live(self.all_names())
-            self.assertEqual(self.node(0).membership.processes(), members)
+            self.assertEqual(self.node(0).membership.process_count(), members)
             self.assertEqual(len({one.membership.digest for one in self.net.nodes.values()}), 1)
 
     def test_entry_started_just_before_its_seeds_joins_quickly(self):
@@ -90,9 +90,9 @@
             net.advance(LOST_MS)
             self.assert_live(self.all_names() - {dead.name})
             other = next(one for one in net.nodes.values() if one.running)
-            self.assertEqual(other.membership.processes(), 73)
+            self.assertEqual(other.membership.process_count(), 73)
             net.advance(31_000.0)
-            self.assertEqual(other.membership.processes(), 72)
+            self.assertEqual(other.membership.process_count(), 72)
 
     def test_leaving_entry_is_not_counted(self):
         net = self.fleet(73)
@@ -101,7 +101,7 @@
         net.advance(500.0)
         others = [one for one in net.nodes.values() if one is not leaving]
         self.assert_live(self.all_names() - {leaving.name}, others)
-        self.assertEqual({one.membership.processes() for one in others}, {72})
+        self.assertEqual({one.membership.process_count() for one in others}, {72})
         net.advance(3_000.0)
         self.assert_live(self.all_names() - {leaving.name}, others)
 
@@ -117,7 +117,7 @@
             net.start(name)
             net.advance(1_500.0)
             self.assert_live(self.all_names())
-            self.assertEqual({one.membership.processes() for one in net.nodes.values()}, {8})
+            self.assertEqual({one.membership.process_count() for one in net.nodes.values()}, {8})
 
     def test_loss_of_all_other_domains_is_detected(self):
         net = self.fleet(12)
--- a/rhubarbhinge/members/tests/test_schedules.py
+++ b/rhubarbhinge/members/tests/test_schedules.py
@@ -100,7 +100,7 @@
         for node in net.nodes.values():
             if node.name in expected:
                 self.assertEqual(node.live_names() - {node.name}, expected - {node.name})
-                self.assertGreaterEqual(node.membership.processes(), len(expected))
+                self.assertGreaterEqual(node.membership.process_count(), len(expected))
         seconds = (net.clock.now_ms() - started_ms) / 1e3
         most = max(net.sent_bytes.values()) / seconds
         self.assertLess(most, MAX_BYTES_PER_SECOND)
--- a/rhubarbhinge/peers/tests/test_pulling.py
+++ b/rhubarbhinge/peers/tests/test_pulling.py
@@ -108,7 +108,7 @@
     def test_datagrams_that_are_no_heartbeats_change_nothing(self):
         for data in (b"", b"[]", b'["vm-2"]', b"\xff" * 20_000):
             self.peers._datagram("127.0.0.9", self.port, data)
-        self.assertEqual(self.peers.membership.processes(), 1)
+        self.assertEqual(self.peers.membership.process_count(), 1)
 
     def test_an_entry_whose_watch_is_silent_takes_what_a_peer_knows(self):
         self.hear()
