--- a/rhubarbhinge/members/_table_sync.py
+++ b/rhubarbhinge/members/_table_sync.py
@@ -12,7 +12,7 @@
     """Decides when to fetch the full list of entries from another entry.
 
     :param now_ms: returns the current time.
-    :param fetch: fetches the list from the entry at an IP address, then calls :meth:`fetched`.
+    :param fetch: fetches the list from the entry at an IP address, then calls :meth:`on_fetched`.
     """
 
     def __init__(self, now_ms: Callable[[], float], fetch: Callable[[str], None]):
@@ -40,7 +40,7 @@
             self._fetching = True
             self._fetch(ip)
 
-    def fetched(self, done: bool) -> None:
+    def on_fetched(self, done: bool) -> None:
         """Report the end of a fetch.
 
         :param done: whether it succeeded.
--- a/rhubarbhinge/members/tests/simulated.py
+++ b/rhubarbhinge/members/tests/simulated.py
@@ -88,14 +88,14 @@
     def _fetch(self, ip: str) -> None:
         other = self.fleet.by_ip.get(ip)
         if other is None or other.frozen or not self.fleet.connected(self.ip, ip):
-            self.after(1_000.0, lambda: self.sync.fetched(False))
+            self.after(1_000.0, lambda: self.sync.on_fetched(False))
             return
         members = [*other.membership.table.all(), other.membership.me]
         self.fleet.count_bytes(other, self, LIST_BYTES_PER_MEMBER * len(members))
 
         def fetched() -> None:
             self.membership.on_members(members)
-            self.sync.fetched(True)
+            self.sync.on_fetched(True)
 
         self.after(4.0, fetched)
 
--- a/rhubarbhinge/members/tests/test_membership.py
+++ b/rhubarbhinge/members/tests/test_membership.py
@@ -246,7 +246,7 @@
                 if member.name == node.name:
                     continue
                 node.membership.table.apply(member, 0.0)
-            node.sync.fetched(True)
+            node.sync.on_fetched(True)
         net.advance(4_000.0)
         net.reset_counters()
         net.advance(for_ms)
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -161,7 +161,7 @@
                 fault = error.code
         if fault:
             log_event("members-not-fetched", level="warning", ip=ip, code=fault)
-        self._sync.fetched(not fault)
+        self._sync.on_fetched(not fault)
 
     def _note(self) -> None:
         self._pull.look()
