--- a/rhubarbhinge/gateway/tests/test_cold_shares.py
+++ b/rhubarbhinge/gateway/tests/test_cold_shares.py
@@ -45,7 +45,7 @@
             lambda: PublishedStatus(at(1), 0.0),
         )
         for number, other in ((2, "hall-a"), (3, "hall-a"), (4, "hall-b")):
-            membership._take(Member(f"vm-{number}", f"10.0.0.{number}", other, number))
+            membership._apply(Member(f"vm-{number}", f"10.0.0.{number}", other, number))
         return ColdShares(Plan(per_s), membership, lambda: RULE, self.timers.now_ms)
 
     def put(self, searcher: Searcher):
--- a/rhubarbhinge/members/_membership.py
+++ b/rhubarbhinge/members/_membership.py
@@ -237,7 +237,7 @@
         if sender.name != self.me.name:
             self._on_sender(sender, heartbeat)
         for update in heartbeat.updates:
-            self._take(update)
+            self._apply(update)
         if sender.name == self.me.name:
             return
         known = self.table.get(sender.name)
@@ -252,7 +252,7 @@
         :param members: the list.
         """
         for update in members:
-            self._take(update)
+            self._apply(update)
         self._queue_gossip(self.me)
 
     def on_domain_contact(self, failure_domain: str) -> None:
@@ -321,7 +321,7 @@
             )
             if member.state is MemberState.ALIVE and now_ms - heard_ms > SUSPECT_AFTER_MS:
                 suspect = replace(member, state=MemberState.SUSPECT)
-                self._take(suspect)
+                self._apply(suspect)
                 self._send(member.ip, (suspect,), wants_reply=True)
 
     def _probe_silent(self) -> None:
@@ -350,9 +350,9 @@
             self._domain_contacts.record(sender.failure_domain, now_ms)
         if sender.failure_domain == self.me.failure_domain:
             self._domain_contacts.merge_ages(heartbeat.domain_ages_ms, now_ms)
-        self._take(sender)
+        self._apply(sender)
 
-    def _take(self, update: Member) -> None:
+    def _apply(self, update: Member) -> None:
         if update.name == self.me.name:
             self._refute(update)
             return
@@ -386,7 +386,7 @@
         if self._timers.now_ms() - self._resumed_ms < SUSPICION_TIMEOUT_MS:
             self._timers.after(SUSPICION_TIMEOUT_MS, lambda: self._expire_suspicion(suspect))
             return
-        self._take(replace(suspect, state=MemberState.LOST))
+        self._apply(replace(suspect, state=MemberState.LOST))
 
     def _queue_gossip(self, update: Member) -> None:
         self._gossip_queue.add(update)
