--- a/rhubarbhinge/gateway/tests/test_cold_shares.py
+++ b/rhubarbhinge/gateway/tests/test_cold_shares.py
@@ -162,11 +162,11 @@
             node.thaw()
             self.world.senders[node.name].shares.on_pause()
         elif kind == "cut":
-            fleet.is_cut = lambda from_ip, to_ip: (from_ip in inside) != (to_ip in inside)
+            fleet.is_blocked = lambda from_ip, to_ip: (from_ip in inside) != (to_ip in inside)
         elif kind == "one-way":
-            fleet.is_cut = lambda from_ip, to_ip: to_ip == node.ip
+            fleet.is_blocked = lambda from_ip, to_ip: to_ip == node.ip
         elif kind == "heal":
-            fleet.is_cut = lambda from_ip, to_ip: False
+            fleet.is_blocked = lambda from_ip, to_ip: False
 
 
 class ScheduleTest(unittest.TestCase):
--- a/rhubarbhinge/members/tests/simulated.py
+++ b/rhubarbhinge/members/tests/simulated.py
@@ -117,7 +117,7 @@
         self.cross_domain_bytes = 0
         self.loss = 0.0
         self.duplicates = 0.0
-        self.is_cut: Callable[[str, str], bool] = lambda from_ip, to_ip: False
+        self.is_blocked: Callable[[str, str], bool] = lambda from_ip, to_ip: False
         self._ips: dict[str, str] = {}
         self.domains = domains
         numbers = itertools.count(1)
@@ -149,7 +149,7 @@
         self.cross_domain_bytes = 0
 
     def connected(self, from_ip: str, to_ip: str) -> bool:
-        return not self.is_cut(from_ip, to_ip) and not self.is_cut(to_ip, from_ip)
+        return not self.is_blocked(from_ip, to_ip) and not self.is_blocked(to_ip, from_ip)
 
     def count_bytes(self, sender: Node, receiver: Node | None, size: int) -> None:
         self.sent_bytes[sender.name] += size
@@ -162,7 +162,7 @@
         self.count_bytes(sender, receiver, len(encode_heartbeat(heartbeat)) + UDP_BYTES)
         copies = 1 + (self.rng.random() < self.duplicates)
         for _ in range(copies):
-            if receiver is None or self.rng.random() < self.loss or self.is_cut(sender.ip, ip):
+            if receiver is None or self.rng.random() < self.loss or self.is_blocked(sender.ip, ip):
                 continue
 
             def deliver(to: Node = receiver) -> None:
--- a/rhubarbhinge/members/tests/test_membership.py
+++ b/rhubarbhinge/members/tests/test_membership.py
@@ -171,13 +171,13 @@
     def test_entry_without_inbound_traffic_removes_nobody(self):
         net = self.fleet(12)
         isolated = self.node(2)
-        net.is_cut = lambda from_ip, to_ip: to_ip == isolated.ip
+        net.is_blocked = lambda from_ip, to_ip: to_ip == isolated.ip
         net.advance(8_000.0)
         others = [one for one in net.nodes.values() if one is not isolated]
         for node in others:
             missing = self.all_names() - node.live_names()
             self.assertLessEqual(missing, {isolated.name}, node.name)
-        net.is_cut = lambda from_ip, to_ip: False
+        net.is_blocked = lambda from_ip, to_ip: False
         net.advance(5_000.0)
         self.assert_live(self.all_names())
 
@@ -185,7 +185,7 @@
         net = self.fleet(16)
         near = [one for one in net.nodes.values() if one.domain == "hall-1"]
         one, other = near[0], near[1]
-        net.is_cut = lambda from_ip, to_ip: (from_ip, to_ip) == (one.ip, other.ip)
+        net.is_blocked = lambda from_ip, to_ip: (from_ip, to_ip) == (one.ip, other.ip)
         lost = 0
         for _ in range(40):
             net.advance(500.0)
@@ -200,7 +200,7 @@
 class PartitionTest(FleetTest):
     def cut(self, domain: str) -> None:
         inside = {node.ip for node in self.net.nodes.values() if node.domain == domain}
-        self.net.is_cut = lambda from_ip, to_ip: (from_ip in inside) != (to_ip in inside)
+        self.net.is_blocked = lambda from_ip, to_ip: (from_ip in inside) != (to_ip in inside)
 
     def test_partitioned_domain_keeps_running_and_rejoins(self):
         for duration_ms in (4_000.0, 15_000.0, 120_000.0):
@@ -213,7 +213,7 @@
                 outside = self.all_names() - inside
                 self.assert_live(outside, [net.nodes[name] for name in outside])
             net.reset_counters()
-            net.is_cut = lambda from_ip, to_ip: False
+            net.is_blocked = lambda from_ip, to_ip: False
             net.advance(4_000.0)
             self.assert_live(self.all_names())
             # Rejoining costs no more than a few transfers of the member list.
@@ -229,7 +229,7 @@
         net.advance(8_000.0)
         net.start(inside[2].name)
         net.advance(2_000.0)
-        net.is_cut = lambda from_ip, to_ip: False
+        net.is_blocked = lambda from_ip, to_ip: False
         net.advance(8_000.0)
         self.assert_live(self.all_names() - {inside[1].name})
 
--- a/rhubarbhinge/members/tests/test_schedules.py
+++ b/rhubarbhinge/members/tests/test_schedules.py
@@ -58,13 +58,13 @@
 
     def do_cut(self, node) -> None:
         inside = {one.ip for one in self.fleet.nodes.values() if one.domain == node.domain}
-        self.fleet.is_cut = lambda from_ip, to_ip: (from_ip in inside) != (to_ip in inside)
+        self.fleet.is_blocked = lambda from_ip, to_ip: (from_ip in inside) != (to_ip in inside)
 
     def do_one_way(self, node) -> None:
-        self.fleet.is_cut = lambda from_ip, to_ip: to_ip == node.ip
+        self.fleet.is_blocked = lambda from_ip, to_ip: to_ip == node.ip
 
     def do_heal(self, node) -> None:
-        self.fleet.is_cut = lambda from_ip, to_ip: False
+        self.fleet.is_blocked = lambda from_ip, to_ip: False
 
     def end(self) -> None:
         self.do_heal(None)
