--- a/rhubarbhinge/plans/_weighted_service.py
+++ b/rhubarbhinge/plans/_weighted_service.py
@@ -6,7 +6,7 @@
 
 from rhubarbhinge.utils.bounded_types import Name
 
-MOST_WEIGHT = 1e9
+MAX_WEIGHT = 1e9
 """Greatest weight; sums of a route's weights and credits stay small enough to keep their fractional
 digits."""
 
@@ -19,4 +19,4 @@
     """
 
     name: Name
-    weight: Annotated[float, Meta(ge=0, le=MOST_WEIGHT)]
+    weight: Annotated[float, Meta(ge=0, le=MAX_WEIGHT)]
