--- a/rhubarbhinge/peers/_state_codec.py
+++ b/rhubarbhinge/peers/_state_codec.py
@@ -9,11 +9,11 @@
 from rhubarbhinge.peers._known_state import NOTHING_KNOWN, KnownState
 from rhubarbhinge.plans import (
     CallerLimits,
-    KeptRoutes,
     PlanChange,
     Route,
     Service,
     ServingPlan,
+    UnchangedRoutes,
 )
 from rhubarbhinge.published import Changes, Evacuation, Snapshot
 from rhubarbhinge.utils.bounded_types import AgeMs, Count, Milliseconds, Name
@@ -183,7 +183,7 @@
 
 
 def _plan_change(sent: _SentPlanChange) -> PlanChange:
-    routes = (convert(one, KeptRoutes if "start" in one else Route) for one in sent.routes)
+    routes = (convert(one, UnchangedRoutes if "start" in one else Route) for one in sent.routes)
     return PlanChange(
         base_version=sent.base_version,
         version=sent.version,
--- a/rhubarbhinge/plans/__init__.py
+++ b/rhubarbhinge/plans/__init__.py
@@ -1,7 +1,7 @@
 """Configuration of what is served: routes, services, shard sets and caller limits."""
 
 from rhubarbhinge.plans._caller_limits import CallerLimits
-from rhubarbhinge.plans._plan_change import KeptRoutes, PlanChange
+from rhubarbhinge.plans._plan_change import PlanChange, UnchangedRoutes
 from rhubarbhinge.plans._route import Route
 from rhubarbhinge.plans._service import Service
 from rhubarbhinge.plans._serving_plan import ServingPlan
@@ -11,7 +11,7 @@
 __all__ = [
     "MAX_WEIGHT",
     "CallerLimits",
-    "KeptRoutes",
+    "UnchangedRoutes",
     "PlanChange",
     "Route",
     "Service",
--- a/rhubarbhinge/plans/_plan_change.py
+++ b/rhubarbhinge/plans/_plan_change.py
@@ -11,7 +11,7 @@
 from rhubarbhinge.utils.bounded_types import Count
 
 
-class KeptRoutes(Struct, frozen=True):
+class UnchangedRoutes(Struct, frozen=True):
     """A run of consecutive routes that are unchanged.
 
     :param start: index of the first among the routes of the base version.
@@ -35,7 +35,7 @@
 
     base_version: int
     version: int
-    routes: tuple[Route | KeptRoutes, ...]
+    routes: tuple[Route | UnchangedRoutes, ...]
     services: tuple[Service, ...]
     gone: tuple[str, ...]
     limits: CallerLimits
@@ -83,17 +83,19 @@
         return ServingPlan(self.version, tuple(routes), services, self.limits)
 
 
-def _route_changes(before: tuple[Route, ...], after: Iterable[Route]) -> list[Route | KeptRoutes]:
+def _route_changes(
+    before: tuple[Route, ...], after: Iterable[Route]
+) -> list[Route | UnchangedRoutes]:
     index_by_name = {route.name: index for index, route in enumerate(before)}
-    changes: list[Route | KeptRoutes] = []
+    changes: list[Route | UnchangedRoutes] = []
     for route in after:
         index = index_by_name.get(route.name)
         if index is None or before[index] != route:
             changes.append(route)
             continue
         last = changes[-1] if changes else None
-        if isinstance(last, KeptRoutes) and last.start + last.count == index:
-            changes[-1] = KeptRoutes(last.start, last.count + 1)
+        if isinstance(last, UnchangedRoutes) and last.start + last.count == index:
+            changes[-1] = UnchangedRoutes(last.start, last.count + 1)
         else:
-            changes.append(KeptRoutes(index, 1))
+            changes.append(UnchangedRoutes(index, 1))
     return changes
--- a/rhubarbhinge/plans/tests/test_plan_change.py
+++ b/rhubarbhinge/plans/tests/test_plan_change.py
@@ -7,12 +7,12 @@
 
 from rhubarbhinge.plans import (
     CallerLimits,
-    KeptRoutes,
     PlanChange,
     Route,
     Service,
     ServingPlan,
     ShardSet,
+    UnchangedRoutes,
 )
 
 NAMES = st.lists(st.sampled_from("abcdefgh"), unique=True)
@@ -46,7 +46,7 @@
         changed = route("c", 2_000.0)
         plan = ServingPlan(4, (*routes[:2], changed, *routes[4:]), {}, CallerLimits())
         found = PlanChange.between(base, plan).routes
-        self.assertEqual(found, (KeptRoutes(0, 2), changed, KeptRoutes(4, 2)))
+        self.assertEqual(found, (UnchangedRoutes(0, 2), changed, UnchangedRoutes(4, 2)))
 
     def test_change_of_another_version_is_rejected(self):
         base = ServingPlan(3, (), {}, CallerLimits())
