--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -158,7 +158,7 @@
             self._list_is_old = first and isinstance(outcome, Snapshot)
             on_done(outcome)
 
-        self._store.read_all(done, may_be_old=first)
+        self._store.read_all(done, allow_stale=first)
 
     def ask_for_all(self) -> None:
         """Have the next wait bring everything, or the fault that all has to be listed."""
--- a/rhubarbhinge/peers/tests/telling.py
+++ b/rhubarbhinge/peers/tests/telling.py
@@ -28,7 +28,7 @@
     def __init__(self):
         self.answer = None
 
-    def read_all(self, on_done, may_be_old=False) -> None:
+    def read_all(self, on_done, allow_stale=False) -> None:
         self.answer = on_done
 
     def wait_for_changes(self, after_revision, on_done) -> None:
@@ -48,7 +48,7 @@
         super().__init__()
         self._timers = timers
 
-    def read_all(self, on_done, may_be_old=False) -> None:
+    def read_all(self, on_done, allow_stale=False) -> None:
         if self.answer is None:
             self.answer = on_done
         else:
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -21,8 +21,8 @@
         self.reads_old: list[bool] = []
         self.outcome: Changes | ReadFault = Changes(at(50))
 
-    def read_all(self, on_done, may_be_old=False) -> None:
-        self.reads_old.append(may_be_old)
+    def read_all(self, on_done, allow_stale=False) -> None:
+        self.reads_old.append(allow_stale)
         on_done(Snapshot(at(40), None, ()))
 
     def wait_for_changes(self, after_revision, on_done) -> None:
