--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -22,17 +22,17 @@
 
 __all__ = [
     "REPLY_MARGIN_MS",
+    "AttemptGrant",
+    "AttemptRequest",
+    "DelegateAccepted",
+    "DelegateCall",
+    "DelegateCancel",
+    "DelegateClient",
     "DelegateReply",
     "DelegateRequest",
     "DelegateServer",
-    "DelegateCancel",
-    "DelegateCall",
-    "DelegateClient",
     "DelegatedSender",
-    "AttemptGrant",
-    "AttemptRequest",
     "LinkCodec",
-    "DelegateAccepted",
     "decode_message",
     "encode_message",
 ]
--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -78,26 +78,26 @@
 class DelegateCall:
     """Handle of a request in progress.
 
-    :param delegates: the client.
+    :param client: the client.
     :param number: the request's number.
     """
 
-    __slots__ = ("_delegates", "_number")
+    __slots__ = ("_client", "_number")
 
-    def __init__(self, delegates: "DelegateClient", number: int):
-        self._delegates = delegates
+    def __init__(self, client: "DelegateClient", number: int):
+        self._client = client
         self._number = number
 
     def cancel(self) -> None:
         """Cancel the request; the delegate cancels its attempts at searchers."""
-        self._delegates.cancel(self._number)
+        self._client.cancel(self._number)
 
     def grant(self, services: tuple[str, ...]) -> None:
         """Allow one more attempt at each of some shards.
 
         :param services: the shards.
         """
-        self._delegates.grant(self._number, services)
+        self._client.grant(self._number, services)
 
 
 class DelegateClient(BaseComponent):
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -32,7 +32,7 @@
     not part of a search, and those for which no entry is available, are sent directly.
 
     :param timers: the timer service.
-    :param delegates: sends requests to other entries.
+    :param client: sends requests to other entries.
     :param failure_domain: failure domain of this entry.
     :param direct: sends to a searcher directly.
     """
@@ -40,12 +40,12 @@
     def __init__(
         self,
         timers: TimerService,
-        delegates: DelegateClient,
+        client: DelegateClient,
         failure_domain: str,
         direct: SendAttempt,
     ):
         self._timers = timers
-        self._delegates = delegates
+        self._client = client
         self._failure_domain = failure_domain
         self._send_directly = direct
         # Negative, to differ from the numbers of direct attempts at the same searcher.
@@ -61,12 +61,12 @@
         domain = exchange.searcher.searcher.failure_domain
         if exchange.search is None or domain == self._failure_domain:
             return self._send_directly(exchange, on_outcome)
-        addresses = self._delegates.choose(domain, 1)
+        addresses = self._client.choose(domain, 1)
         if not addresses:
             return self._send_directly(exchange, on_outcome)
         attempt = _DelegatedAttempt(self._timers, next(self._numbers), exchange, on_outcome)
         request = _request_for(exchange, self._timers.now_ms())
-        attempt.call = self._delegates.send(
+        attempt.call = self._client.send(
             addresses[0], request, attempt.on_reply, attempt.deny_attempts
         )
         return attempt
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_client_server.py
@@ -53,7 +53,7 @@
         self.addCleanup(stop_tree, self.root)
         self.replies: list[DelegateReply | None] = []
 
-    def delegates(self, port: int) -> DelegateClient:
+    def client(self, port: int) -> DelegateClient:
         self.membership = Membership(
             self.timers,
             Member("vm-1", "10.0.0.1", "hall-a", 1),
@@ -74,15 +74,15 @@
     def wait(self, condition) -> None:
         self.assertTrue(run_until(self.root, condition), "the bound was reached")
 
-    def open(self, delegates: DelegateClient) -> str:
-        self.wait(lambda: delegates.choose("hall-b", 1))
-        return delegates.choose("hall-b", 1)[0]
+    def open(self, client: DelegateClient) -> str:
+        self.wait(lambda: client.choose("hall-b", 1))
+        return client.choose("hall-b", 1)[0]
 
     def start_request(self) -> DelegateClient:
-        delegates = self.delegates(self.server._links.bound_port)
-        self.call = delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        client = self.client(self.server._links.bound_port)
+        self.call = client.send(self.open(client), REQUEST, self.replies.append, self.grant)
         self.wait(lambda: len(self.world.attempts) == 2)
-        return delegates
+        return client
 
     def test_replies_of_all_shards_are_merged(self):
         self.start_request()
@@ -99,28 +99,26 @@
     def test_prepared_links_serve_the_first_search(self):
         """Guards against the first searches of a new entry going to all shards directly. That
         happens without open links, and the processor has no time for so many connections."""
-        delegates = self.delegates(self.server._links.bound_port)
-        delegates.prepare("hall-b")
+        client = self.client(self.server._links.bound_port)
+        client.prepare("hall-b")
         self.wait(lambda: self.server._by_link)
         run_until(self.root, lambda: False, 0.05)
-        self.assertEqual(delegates.choose("hall-b", 1), [OTHER.ip])
+        self.assertEqual(client.choose("hall-b", 1), [OTHER.ip])
 
     def test_shard_without_searchers_is_untried(self):
         for name in ("s1-1", "s1-2"):
             self.world.observed(name).on_unreachable()
-        delegates = self.delegates(self.server._links.bound_port)
-        delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        client = self.client(self.server._links.bound_port)
+        client.send(self.open(client), REQUEST, self.replies.append, self.grant)
         self.wait(lambda: len(self.world.attempts) == 1)
         self.world.attempts[0].end(replied())
         self.wait(lambda: self.replies)
         self.assertEqual(self.replies[0].untried, ("s1",))
 
     def test_partial_reply_is_sent_when_due(self):
-        delegates = self.delegates(self.server._links.bound_port)
-        address = self.open(delegates)
-        delegates.send(
-            address, replace(REQUEST, reply_after_ms=50.0), self.replies.append, self.grant
-        )
+        client = self.client(self.server._links.bound_port)
+        address = self.open(client)
+        client.send(address, replace(REQUEST, reply_after_ms=50.0), self.replies.append, self.grant)
         self.wait(lambda: len(self.world.attempts) == 2)
         self.world.attempts[0].end(replied())
         self.wait(lambda: self.replies)
@@ -137,9 +135,9 @@
         self.assertEqual(self.server.active_requests, 0)
 
     def test_cancel_after_a_partial_reply_stops_the_rest(self):
-        delegates = self.delegates(self.server._links.bound_port)
-        call = delegates.send(
-            self.open(delegates),
+        client = self.client(self.server._links.bound_port)
+        call = client.send(
+            self.open(client),
             replace(REQUEST, reply_after_ms=50.0),
             self.replies.append,
             self.grant,
@@ -167,8 +165,8 @@
 
     def test_no_second_attempt_without_permission(self):
         self.hedge_ms = 50.0
-        delegates = self.start_request()
-        delegates._links.send = lambda link, data: None
+        client = self.start_request()
+        client._links.send = lambda link, data: None
         run_until(self.root, lambda: False, 0.3)
         self.assertEqual(len(self.world.attempts), 2)
 
@@ -185,11 +183,11 @@
             lambda link, reason: None,
             ("127.0.0.1", 0),
         ).register(self.root)
-        delegates = self.delegates(silent.bound_port)
-        delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        client = self.client(silent.bound_port)
+        client.send(self.open(client), REQUEST, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(self.replies, [None])
-        self.assertEqual(delegates.choose("hall-b", 1), [])
+        self.assertEqual(client.choose("hall-b", 1), [])
 
     def test_stalled_requester_reads_pending_input_before_timing_out(self):
         # Opening connections to the searchers of its own shards blocks an entry with half a core
@@ -209,20 +207,20 @@
     def test_request_is_flushed_at_once(self):
         # Otherwise it is sent at the end of the loop iteration, after connections to the searchers
         # of this entry's own shards were opened, when most of its 30 ms timeout has passed.
-        delegates = self.delegates(self.server._links.bound_port)
-        delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
-        self.assertEqual(delegates._links.pending_bytes, 0)
+        client = self.client(self.server._links.bound_port)
+        client.send(self.open(client), REQUEST, self.replies.append, self.grant)
+        self.assertEqual(client._links.pending_bytes, 0)
 
     def test_request_due_at_once_is_still_searched(self):
-        delegates = self.delegates(self.server._links.bound_port)
+        client = self.client(self.server._links.bound_port)
         request = replace(REQUEST, reply_after_ms=0.0)
-        delegates.send(self.open(delegates), request, self.replies.append, self.grant)
+        client.send(self.open(client), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(set(self.replies[0].pending), {"s0", "s1"})
 
     def test_request_cancelled_before_its_start_contacts_no_searcher(self):
-        delegates = self.delegates(self.server._links.bound_port)
-        call = delegates.send(self.open(delegates), REQUEST, self.replies.append, self.grant)
+        client = self.client(self.server._links.bound_port)
+        call = client.send(self.open(client), REQUEST, self.replies.append, self.grant)
         call.cancel()
         run_until(self.root, lambda: False, 0.1)
         running = [attempt for attempt in self.world.attempts if not attempt.cancelled]
@@ -231,17 +229,17 @@
     def test_missing_reply_after_acceptance_fails_the_request(self):
         # E.g. a process that is frozen or starved of CPU, whose kernel still acknowledges packets.
         self.server._send_reply = lambda link, state, reply: None
-        delegates = self.delegates(self.server._links.bound_port)
+        client = self.client(self.server._links.bound_port)
         request = replace(REQUEST, reply_after_ms=60.0)
-        delegates.send(self.open(delegates), request, self.replies.append, self.grant)
+        client.send(self.open(client), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(self.replies, [None])
         self.wait(lambda: all(attempt.cancelled for attempt in self.world.attempts))
 
     def test_pending_shards_may_follow_a_partial_reply_late(self):
-        delegates = self.delegates(self.server._links.bound_port)
+        client = self.client(self.server._links.bound_port)
         request = replace(REQUEST, reply_after_ms=30.0)
-        delegates.send(self.open(delegates), request, self.replies.append, self.grant)
+        client.send(self.open(client), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         run_until(self.root, lambda: False, 0.2)
         self.assertEqual(len(self.replies), 1)
@@ -251,18 +249,18 @@
         # The requesting entry has counted it; counting it twice would allow more extra attempts.
         counted = []
         self.world.budget.on_request = counted.append
-        delegates = self.delegates(self.server._links.bound_port)
-        address = self.open(delegates)
+        client = self.client(self.server._links.bound_port)
+        address = self.open(client)
         single = replace(REQUEST, services=("s0",), searcher="s0-1")
         for request in (single, REQUEST):
-            delegates.send(address, request, self.replies.append, self.grant)
+            client.send(address, request, self.replies.append, self.grant)
         self.wait(lambda: len(self.world.attempts) == 3)
         self.assertEqual(counted, [("s0", "s1")])
 
     def test_attempt_request_after_the_due_time_is_no_failure(self):
-        delegates = self.delegates(self.server._links.bound_port)
+        client = self.client(self.server._links.bound_port)
         request = replace(REQUEST, reply_after_ms=20.0)
-        delegates.send(self.open(delegates), request, self.replies.append, self.grant)
+        client.send(self.open(client), request, self.replies.append, self.grant)
         self.wait(lambda: self.replies)
         self.assertEqual(set(self.replies[0].pending), {"s0", "s1"})
         run_until(self.root, lambda: False, 0.1)
@@ -272,31 +270,31 @@
         self.assertEqual(len(self.replies), 1)
 
     def test_closed_link_fails_the_request_and_stops_the_searchers(self):
-        delegates = self.start_request()
+        client = self.start_request()
         for link in list(self.server._by_link):
             self.server._links.abort(link)
         self.wait(lambda: self.replies)
         self.assertEqual(self.replies, [None])
         self.wait(lambda: all(attempt.cancelled for attempt in self.world.attempts))
-        self.assertEqual(delegates.choose("hall-b", 1), [])
+        self.assertEqual(client.choose("hall-b", 1), [])
 
     def test_requesters_use_different_subsets_of_a_domain(self):
         chosen = []
         for name in ("vm-1", "vm-4", "vm-5"):
-            delegates = self.delegates(1)
+            client = self.client(1)
             self.membership.me = replace(self.membership.me, name=name)
             opened = chosen_by = []
-            delegates._open = lambda ip, domain, opened=opened: opened.append(ip)
+            client._open = lambda ip, domain, opened=opened: opened.append(ip)
             others = [replace(OTHER, name=f"vm-x{n}", ip=f"127.0.1.{n}") for n in range(40)]
             self.membership.on_members(others)
-            delegates.choose("hall-b", 2)
+            client.choose("hall-b", 2)
             chosen.append(frozenset(chosen_by))
         self.assertEqual([len(found) for found in chosen], [6, 6, 6])
         self.assertEqual(len(set(chosen)), 3)
 
     def test_search_that_fails_with_a_link_cancels_its_other_requests(self):
-        delegates = self.delegates(self.server._links.bound_port)
-        address = self.open(delegates)
+        client = self.client(self.server._links.bound_port)
+        address = self.open(client)
         calls = []
 
         def failed(reply: DelegateReply | None) -> None:
@@ -304,7 +302,7 @@
             for call in calls:
                 call.cancel()
 
-        calls += [delegates.send(address, REQUEST, failed, self.grant) for _ in range(3)]
+        calls += [client.send(address, REQUEST, failed, self.grant) for _ in range(3)]
         self.wait(lambda: len(self.world.attempts) == 6)
         for link in list(self.server._by_link):
             self.server._links.abort(link)
@@ -313,8 +311,8 @@
         self.assertEqual(self.replies, [None])
 
     def test_leaving_entry_gets_no_requests(self):
-        delegates = self.delegates(self.server._links.bound_port)
-        self.open(delegates)
+        client = self.client(self.server._links.bound_port)
+        self.open(client)
         self.membership.on_members([replace(OTHER, state=MemberState.LEFT)])
-        self.assertEqual(delegates.choose("hall-b", 1), [])
-        self.assertEqual(delegates.choose("hall-c", 1), [])
+        self.assertEqual(client.choose("hall-b", 1), [])
+        self.assertEqual(client.choose("hall-c", 1), [])
--- a/rhubarbhinge/delegation/tests/test_delegated_sender.py
+++ b/rhubarbhinge/delegation/tests/test_delegated_sender.py
@@ -11,7 +11,7 @@
 SEARCH = SearchTerms(5, 95.0)
 
 
-class FakeDelegates:
+class FakeDelegateClient:
     """Entries of ``hall-b``, whose replies the test sets."""
 
     def __init__(self):
@@ -34,20 +34,18 @@
 class DelegatedSenderTest(unittest.TestCase):
     def setUp(self):
         self.world = FakeWorld(services=("s0",))
-        self.world.fleet.put(Searcher("far", "s0", "10.0.1.9", 80, "hall-b", 2))
-        self.far = self.world.observed("far")
-        self.delegates = FakeDelegates()
+        self.world.fleet.put(Searcher("remote", "s0", "10.0.1.9", 80, "hall-b", 2))
+        self.remote = self.world.observed("remote")
+        self.client = FakeDelegateClient()
         self.direct: list[FakeAttempt] = []
         self.outcomes = []
-        self.sends = DelegatedSender(
-            self.world.timers, self.delegates, "hall-a", self._send_directly
-        )
+        self.sends = DelegatedSender(self.world.timers, self.client, "hall-a", self._send_directly)
 
     def _send_directly(self, exchange, on_outcome) -> FakeAttempt:
         self.direct.append(FakeAttempt(exchange, on_outcome))
         return self.direct[-1]
 
-    def send(self, name: str = "far", search: SearchTerms | None = SEARCH):
+    def send(self, name: str = "remote", search: SearchTerms | None = SEARCH):
         now_ms = self.world.timers.now_ms()
         exchange = Exchange(
             self.world.observed(name),
@@ -63,41 +61,39 @@
 
     def reply(self, services=(), untried=(), pending=(), ran: bool = True) -> None:
         signatures = tuple(f"sig-{name}" for name in services)
-        self.delegates.reply(
-            DelegateReply(0, services, signatures, untried, pending, ran, b"z" * 16)
-        )
+        self.client.reply(DelegateReply(0, services, signatures, untried, pending, ran, b"z" * 16))
 
     def test_delegated_attempt_is_not_counted_as_unwritten(self):
         now_ms = self.world.timers.now_ms()
-        sends = self.far.cold_sends(now_ms)
+        sends = self.remote.cold_sends(now_ms)
         self.send()
         self.assertFalse(sends.has_room(1, now_ms))
         self.assertTrue(sends.has_room(1, now_ms + 1_100.0))
 
     def test_remote_shard_is_delegated_with_its_searcher(self):
         self.send()
-        (request,) = self.delegates.requests
+        (request,) = self.client.requests
         self.assertEqual((request.services, request.max_attempts, request.top_k), (("s0",), 1, 5))
-        self.assertEqual(request.searcher, "far")
+        self.assertEqual(request.searcher, "remote")
         self.assertEqual((request.reply_after_ms, request.left_ms), (84.0, 1_000.0))
-        self.assertEqual(self.delegates.grant(("s0",), FarNews()), ())
-        self.assertEqual(len(self.far.started_ms), 1)
+        self.assertEqual(self.client.grant(("s0",), FarNews()), ())
+        self.assertEqual(len(self.remote.started_ms), 1)
         self.world.timers.advance(25.0)
         self.reply(services=("s0",))
         (outcome,) = self.outcomes
         self.assertIsInstance(outcome, Replied)
         self.assertEqual((outcome.reply.signature, outcome.reply.body), ("sig-s0", b"z" * 16))
-        self.assertEqual((outcome.delay_ms, len(self.far.started_ms)), (25.0, 0))
+        self.assertEqual((outcome.delay_ms, len(self.remote.started_ms)), (25.0, 0))
 
     def test_local_shards_and_other_requests_are_sent_directly(self):
         self.send("s0-1")
         self.send(search=None)
-        self.assertEqual((len(self.direct), self.delegates.requests), (2, []))
+        self.assertEqual((len(self.direct), self.client.requests), (2, []))
 
     def test_without_a_delegate_it_is_sent_directly(self):
-        self.delegates.ready = []
+        self.client.ready = []
         self.send()
-        self.assertEqual((len(self.direct), self.delegates.requests), (1, []))
+        self.assertEqual((len(self.direct), self.client.requests), (1, []))
 
     def test_pending_shard_is_awaited(self):
         self.send()
@@ -112,13 +108,13 @@
         self.send()
         self.reply()
         self.send()
-        self.delegates.reply(None)
+        self.client.reply(None)
         self.send()
         self.reply(ran=False)
         lost = Lost(Why.BROKEN)
         expected = [NotRun(Why.UNREACHABLE), lost, lost, NotRun(Why.NO_ROOM)]
         self.assertEqual(self.outcomes, expected)
-        self.assertEqual(len(self.far.started_ms), 0)
+        self.assertEqual(len(self.remote.started_ms), 0)
 
     def test_reply_for_another_shard_is_a_failure(self):
         self.send()
@@ -130,5 +126,5 @@
         attempt.cancel()
         attempt.cancel()
         self.reply(services=("s0",))
-        self.assertEqual((self.delegates.cancelled, self.outcomes), (1, []))
-        self.assertEqual(len(self.far.started_ms), 0)
+        self.assertEqual((self.client.cancelled, self.outcomes), (1, []))
+        self.assertEqual(len(self.remote.started_ms), 0)
--- a/rhubarbhinge/members/tests/test_membership.py
+++ b/rhubarbhinge/members/tests/test_membership.py
@@ -183,8 +183,8 @@
 
     def test_one_way_link_failure_removes_nobody(self):
         net = self.fleet(16)
-        near = [one for one in net.nodes.values() if one.domain == "hall-1"]
-        one, other = near[0], near[1]
+        local = [one for one in net.nodes.values() if one.domain == "hall-1"]
+        one, other = local[0], local[1]
         net.is_blocked = lambda from_ip, to_ip: (from_ip, to_ip) == (one.ip, other.ip)
         lost = 0
         for _ in range(40):
--- a/rhubarbhinge/plans/__init__.py
+++ b/rhubarbhinge/plans/__init__.py
@@ -11,11 +11,11 @@
 __all__ = [
     "MAX_WEIGHT",
     "CallerLimits",
-    "UnchangedRoutes",
     "PlanChange",
     "Route",
     "Service",
     "ServingPlan",
     "ShardSet",
+    "UnchangedRoutes",
     "WeightedService",
 ]
