--- /dev/null
+++ b/rhubarbhinge/delegation/_client.py
@@ -0,0 +1,320 @@
+"""Client side of delegation: requests to entries of other failure domains."""
+
+import itertools
+import random
+import zlib
+from collections.abc import Callable
+
+from circuits import BaseComponent
+from msgspec import Struct
+from msgspec.structs import replace
+
+from rhubarbhinge.delegation._link_codec import LinkCodec
+from rhubarbhinge.delegation._messages import (
+    AttemptGrant,
+    AttemptRequest,
+    DelegateAccepted,
+    DelegateCancel,
+    DelegateReply,
+    DelegateRequest,
+    Message,
+)
+from rhubarbhinge.fleet import DomainReach
+from rhubarbhinge.gather import AttemptReport, GrantAttempts
+from rhubarbhinge.members import Member, Membership
+from rhubarbhinge.net import CloseReason, FrameError, Links
+from rhubarbhinge.telemetry import log_event
+from rhubarbhinge.timing import TimerHandle, TimerService
+
+ACCEPT_TIMEOUT_MS = 30.0
+"""Timeout for the acceptance of a request, which takes a round trip of 2 to 3 ms."""
+REPLY_MARGIN_MS = 6.0
+"""A delegate is asked to reply this much before its reply is needed, to allow for the transfer
+between the domains and for processing time at both ends."""
+CONNECT_TIMEOUT_MS = 350.0
+"""Timeout for connecting to an entry, the same as to a searcher."""
+FAILURE_BACKOFF_MS = 1_500.0
+"""An entry that failed gets no requests for this long; a restart takes about a second."""
+
+LINKS_PER_DOMAIN = 6
+"""Entries of a failure domain that this one sends requests to: the number that 90 shards are split
+among, plus one spare. Different entries use different ones, which balances the load, and the
+number of links does not grow with the fleet."""
+REPLY_GRACE_MS = 25.0
+"""A delegate that has accepted a request replies with its results so far when the reply is due. If
+it has not replied this long after, it is stalled and its shards are searched in another way. Twice
+the usual lag of a busy entry, plus a round trip."""
+UNREACHABLE_REASONS = (CloseReason.SILENT, CloseReason.CONNECT_TIMEOUT)
+"""Close reasons of links to unreachable hosts; a process that exits closes its links otherwise."""
+
+OnReply = Callable[[DelegateReply | None], None]
+"""Called with each reply, of which the last has no pending shards; or with None when the delegate
+failed and the remaining shards have to be searched in another way."""
+
+
+class _Link(Struct, eq=False):
+    """State of a link."""
+
+    ip: str
+    failure_domain: str
+    codec: LinkCodec
+    is_open: bool = False
+
+
+class _Call(Struct, eq=False):
+    """State of a request."""
+
+    link: int
+    ip: str
+    request_id: str
+    on_reply: OnReply
+    grant: GrantAttempts
+    timer: TimerHandle
+    sent_ms: float
+    due_ms: float
+    answered: bool = False
+
+
+class DelegateCall:
+    """Handle of a request in progress.
+
+    :param client: the client.
+    :param number: the request's number.
+    """
+
+    __slots__ = ("_client", "_number")
+
+    def __init__(self, client: "DelegateClient", number: int):
+        self._client = client
+        self._number = number
+
+    def cancel(self) -> None:
+        """Cancel the request; the delegate cancels its attempts at searchers."""
+        self._client.cancel(self._number)
+
+    def grant(self, services: tuple[str, ...]) -> None:
+        """Allow one more attempt at each of some shards.
+
+        :param services: the shards.
+        """
+        self._client.grant(self._number, services)
+
+
+class DelegateClient(BaseComponent):
+    """Sends search requests to entries of other failure domains, over one link to each.
+
+    :param timers: the timer service.
+    :param membership: the other entries; is informed of those that respond.
+    :param port: port on which entries accept requests.
+    :param rng: randomizes the choice of entries.
+    :param reach: is informed of responding failure domains and of unreachable entries.
+    """
+
+    channel = "delegates"
+
+    def __init__(
+        self,
+        timers: TimerService,
+        membership: Membership,
+        port: int,
+        rng: random.Random,
+        reach: DomainReach,
+    ):
+        super().__init__()
+        self._reach = reach
+        self._timers = timers
+        self._membership = membership
+        self._port = port
+        self._rng = rng
+        self._numbers = itertools.count(1)
+        self._by_link: dict[int, _Link] = {}
+        self._by_ip: dict[str, int] = {}
+        self._calls: dict[int, _Call] = {}
+        self._backoff_until_ms: dict[str, float] = {}
+        self._links = Links(
+            self._opened, self._received, self._closed, detect_dead_peers=True
+        ).register(self)
+
+    @property
+    def sent_bytes(self) -> int:
+        """Bytes of requests sent since the start."""
+        return self._links.sent_bytes
+
+    def choose(self, failure_domain: str, count: int) -> list[str]:
+        """Choose connected entries of a failure domain, and open missing links to others.
+
+        :param failure_domain: the failure domain.
+        :param count: greatest number of entries.
+        :returns: their IP addresses; fewer than ``count``, or none, if not enough are connected.
+        """
+        if count <= 0:
+            return []
+        ready = [ip for ip in self.prepare(failure_domain) if self._is_open(ip)]
+        return self._rng.sample(ready, min(count, len(ready)))
+
+    def prepare(self, failure_domain: str) -> list[str]:
+        """Open the links to entries of a failure domain in advance of the first search.
+
+        :param failure_domain: the failure domain.
+        :returns: the IP addresses of the entries in that domain that this one sends requests to.
+        """
+        now_ms = self._timers.now_ms()
+        healthy = [
+            member
+            for member in self._membership.live(failure_domain)
+            if self._backoff_until_ms.get(member.ip, 0.0) <= now_ms
+        ]
+        addresses = [member.ip for member in sorted(healthy, key=self._rank)[:LINKS_PER_DOMAIN]]
+        for ip in addresses:
+            if ip not in self._by_ip:
+                self._open(ip, failure_domain)
+        return addresses
+
+    def send(
+        self, ip: str, request: DelegateRequest, on_reply: OnReply, grant: GrantAttempts
+    ) -> DelegateCall:
+        """Send a request to an entry.
+
+        :param ip: its IP address, as returned by :meth:`choose`.
+        :param request: the request; its number is assigned here.
+        :param on_reply: called with the results, not before this method returns.
+        :param grant: decides on further attempts that the delegate asks for.
+        :returns: a handle to cancel the request.
+        """
+        number = next(self._numbers)
+        link = self._by_ip[ip]
+        timer = self._timers.after(ACCEPT_TIMEOUT_MS, lambda: self._on_timeout(number, "not-taken"))
+        now_ms = self._timers.now_ms()
+        due_ms = now_ms + request.reply_after_ms + REPLY_GRACE_MS
+        self._calls[number] = _Call(
+            link, ip, request.request_id, on_reply, grant, timer, now_ms, due_ms
+        )
+        self._send(link, replace(request, number=number))
+        # Flushed before connections to the searchers of this entry's own shards are opened, which
+        # would take up most of the time within which the request has to be accepted.
+        self._links.flush(link)
+        return DelegateCall(self, number)
+
+    def cancel(self, number: int) -> None:
+        """Cancel a request.
+
+        :param number: the request's number.
+        """
+        call = self._calls.pop(number, None)
+        if call is not None:
+            call.timer.cancel()
+            self._send(call.link, DelegateCancel(number))
+
+    def grant(self, number: int, services: tuple[str, ...]) -> None:
+        """Allow one more attempt at each of some shards of a request.
+
+        :param number: the request's number.
+        :param services: the shards.
+        """
+        call = self._calls.get(number)
+        if call is not None:
+            self._send(call.link, AttemptGrant(number, services))
+
+    def _rank(self, member: Member) -> int:
+        """Return a sort key that differs between requesting entries."""
+        return zlib.crc32(f"{self._membership.me.name} {member.name}".encode())
+
+    def _is_open(self, ip: str) -> bool:
+        link = self._by_link.get(self._by_ip.get(ip, -1))
+        return link is not None and link.is_open
+
+    def _open(self, ip: str, failure_domain: str) -> None:
+        number = self._links.open(ip, self._port, CONNECT_TIMEOUT_MS)
+        self._by_ip[ip] = number
+        self._by_link[number] = _Link(ip, failure_domain, LinkCodec())
+
+    def _opened(self, link: int, inbound: bool) -> None:
+        self._by_link[link].is_open = True
+
+    def _received(self, link: int, data: bytes) -> None:
+        state = self._by_link.get(link)
+        if state is None:
+            return
+        self._reach.on_heard(state.failure_domain)
+        self._membership.on_domain_contact(state.failure_domain)
+        try:
+            for message in state.codec.feed(data):
+                self._on_message(message)
+        except FrameError as error:
+            log_event("delegate-link-refused", level="error", ip=state.ip, code=error.code)
+            self._links.abort(link)
+
+    def _send(self, link: int, message: Message) -> None:
+        state = self._by_link.get(link)
+        if state is not None:
+            self._links.send(link, state.codec.encode(message))
+
+    def _on_message(self, message: object) -> None:
+        call = self._calls.get(getattr(message, "number", 0))
+        if call is None:
+            return
+        call.timer.cancel()
+        if isinstance(message, DelegateReply):
+            call.answered = True
+            if not message.pending:
+                del self._calls[message.number]
+            call.on_reply(message)
+        elif isinstance(message, AttemptRequest):
+            news = AttemptReport(message.ended, message.replied)
+            granted = call.grant(message.services, news)
+            if granted:
+                self._send(call.link, AttemptGrant(message.number, granted))
+        elif not isinstance(message, DelegateAccepted):
+            raise FrameError("malformed", "unexpected message from a delegate")
+        if not call.answered:
+            left_ms = call.due_ms - self._timers.now_ms()
+            number = message.number
+            call.timer = self._timers.after(left_ms, lambda: self._on_timeout(number, "silent"))
+
+    def _on_timeout(self, number: int, code: str) -> None:
+        """Process pending input before a request times out.
+
+        Due timers run first in an iteration of the event loop. After a long iteration, such as one
+        that opens connections to many searchers, the awaited message may have arrived unread.
+        """
+        call = self._calls.get(number)
+        if call is not None:
+            call.timer = self._timers.after(0, lambda: self._time_out(number, code))
+
+    def _time_out(self, number: int, code: str) -> None:
+        call = self._calls.get(number)
+        if call is None:
+            return
+        self._send(call.link, DelegateCancel(number))
+        self._fail(number, code)
+
+    def _closed(self, link: int, reason: CloseReason) -> None:
+        state = self._by_link.pop(link)
+        if self._by_ip.get(state.ip) == link:
+            del self._by_ip[state.ip]
+        self._back_off(state.ip)
+        if reason in UNREACHABLE_REASONS:
+            self._reach.on_unreachable(state.failure_domain, state.ip)
+        for number in [n for n, call in self._calls.items() if call.link == link]:
+            self._fail(number, reason.value)
+
+    def _fail(self, number: int, code: str) -> None:
+        call = self._calls.pop(number, None)
+        if call is None:
+            # The failure of one request made the search cancel its other requests.
+            return
+        call.timer.cancel()
+        self._back_off(call.ip)
+        log_event(
+            "delegate-failed",
+            level="warning",
+            request=call.request_id,
+            ip=call.ip,
+            code=code,
+            after_ms=round(self._timers.now_ms() - call.sent_ms, 1),
+            unsent_bytes=self._links.unsent_bytes(call.link),
+        )
+        call.on_reply(None)
+
+    def _back_off(self, ip: str) -> None:
+        self._backoff_until_ms[ip] = self._timers.now_ms() + FAILURE_BACKOFF_MS
--- a/rhubarbhinge/gateway/_call_terms.py
+++ b/rhubarbhinge/gateway/_call_terms.py
@@ -1,6 +1,6 @@
 """Limits and deadlines of the calls of one request."""
 
-from rhubarbhinge.delegation import Ask
+from rhubarbhinge.delegation import DelegateRequest
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import CallTerms, SearchTerms
 
@@ -66,7 +66,7 @@
     )
 
 
-def ask_terms(ask: Ask, delays: Delays, now_ms: float) -> CallTerms:
+def ask_terms(ask: DelegateRequest, delays: Delays, now_ms: float) -> CallTerms:
     """Compute the limits and deadlines of each call made on behalf of another entry.
 
     :param ask: the request of the other entry.
@@ -83,7 +83,7 @@
         now_ms,
         now_ms + ask.left_ms,
         delays,
-        now_ms + ask.answer_in_ms,
+        now_ms + ask.reply_after_ms,
         ask.top_k,
         ask.searcher,
         ask.searcher_started_unix_ms,
--- a/rhubarbhinge/gateway/_shard_delegation.py
+++ b/rhubarbhinge/gateway/_shard_delegation.py
@@ -10,7 +10,13 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, Delegate, Delegates
+from rhubarbhinge.delegation import (
+    REPLY_MARGIN_MS,
+    DelegateCall,
+    DelegateClient,
+    DelegateReply,
+    DelegateRequest,
+)
 from rhubarbhinge.fleet import Fleet
 from rhubarbhinge.forward import CallerRequest, Surroundings
 from rhubarbhinge.gather import GatherTerms, GrantAttempts, PartialResult, ShardDelegation
@@ -24,7 +30,7 @@
 def shard_delegation(
     failure_domain: str,
     context: Surroundings,
-    delegates: Delegates,
+    delegates: DelegateClient,
     rng: random.Random,
 ) -> ShardDelegation:
     """Create the delegation of shards to entries in this and other failure domains.
@@ -62,9 +68,9 @@
         services: list[str],
         on_part: Callable[[PartialResult | None], None],
         grant: GrantAttempts,
-    ) -> Delegate:
+    ) -> DelegateCall:
         now_ms = context.timers.now_ms()
-        message = Ask(
+        message = DelegateRequest(
             number=0,
             request_id=request.id,
             head=request.head,
@@ -75,10 +81,10 @@
             priority=terms.call.priority,
             max_attempts=terms.call.max_attempts,
             target_latency_ms=terms.target_latency_ms,
-            answer_in_ms=max(0.0, terms.answer_by_ms - now_ms - ANSWER_MARGIN_MS),
+            reply_after_ms=max(0.0, terms.answer_by_ms - now_ms - REPLY_MARGIN_MS),
             left_ms=max(0.0, terms.call.deadline_ms - now_ms),
         )
-        return delegates.ask(
+        return delegates.send(
             address, message, lambda answer: on_part(_partial_result(answer)), grant
         )
 
@@ -122,7 +128,7 @@
     }
 
 
-def _partial_result(answer: Answer | None) -> PartialResult | None:
+def _partial_result(answer: DelegateReply | None) -> PartialResult | None:
     if answer is None:
         return None
     return PartialResult(
--- a/rhubarbhinge/gateway/_shutdown.py
+++ b/rhubarbhinge/gateway/_shutdown.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rhubarbhinge.delegation import AskServer
+from rhubarbhinge.delegation import DelegateServer
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.web import HttpServer
@@ -29,7 +29,7 @@
         self,
         timers: TimerService,
         callers: HttpServer,
-        asks: AskServer,
+        asks: DelegateServer,
         end: Callable[[], None],
     ):
         self._timers = timers
@@ -55,7 +55,7 @@
     def _poll(self) -> None:
         now_ms = self._timers.now_ms()
         late = now_ms >= self._latest_end_ms
-        open_work = self._callers.open_requests + self._asks.open_asks
+        open_work = self._callers.open_requests + self._asks.active_requests
         unsent_bytes = self._callers.unsent_bytes + self._asks.unsent_bytes
         answered = open_work == 0 and unsent_bytes == 0
         if late or (answered and now_ms >= self._earliest_end_ms):
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -10,7 +10,14 @@
 from collections.abc import Callable
 from unittest import mock
 
-from rhubarbhinge.delegation import Ask, AskServer, Delegates, FarSends, _delegates, _serving
+from rhubarbhinge.delegation import (
+    DelegateClient,
+    DelegatedSender,
+    DelegateRequest,
+    DelegateServer,
+    _client,
+    _server,
+)
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, Searcher, expected_cost
 from rhubarbhinge.forward import (
     CallerRequest,
@@ -139,7 +146,7 @@
     def live(self, failure_domain: str) -> list[Member]:
         return [member for member in self._others if member.failure_domain == failure_domain]
 
-    def on_work(self, failure_domain: str) -> None:
+    def on_domain_contact(self, failure_domain: str) -> None:
         pass
 
 
@@ -165,7 +172,7 @@
             fleet,
             expected_cost(domain, rng),
             budget,
-            lambda exchange, on_outcome: self._far_sends.send(exchange, on_outcome),
+            lambda exchange, on_outcome: self._delegated_sender.send(exchange, on_outcome),
             Metrics(),
         )
 
@@ -174,18 +181,18 @@
 
         reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
         with (
-            mock.patch.object(_delegates, "Links", links),
-            mock.patch.object(_serving, "Links", links),
+            mock.patch.object(_client, "Links", links),
+            mock.patch.object(_server, "Links", links),
         ):
-            self.delegates = Delegates(self.timers, StaticMembers(name), PORT, rng, reach)
-            self.asks = AskServer(
+            self.delegates = DelegateClient(self.timers, StaticMembers(name), PORT, rng, reach)
+            self.asks = DelegateServer(
                 self.timers,
                 self.context,
                 self._ask_terms,
                 lambda route, target_ms: self.delays,
                 (name, PORT),
             )
-        self._far_sends = FarSends(self.timers, self.delegates, domain, self._send)
+        self._delegated_sender = DelegatedSender(self.timers, self.delegates, domain, self._send)
         self.delegation = _shard_delegation.shard_delegation(
             domain, self.context, self.delegates, rng
         )
@@ -193,7 +200,7 @@
     def _send(self, exchange: Exchange, on_outcome: Callable[[Outcome], None]) -> SimulatedAttempt:
         return SimulatedAttempt(self.simulation.searchers, self.timers, exchange, on_outcome)
 
-    def _ask_terms(self, ask: Ask, delays: Delays) -> CallTerms:
+    def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
         return ask_terms(ask, delays, self.timers.now_ms())
 
     def search(
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -60,7 +60,7 @@
     def all_live(self) -> list[Member]:
         return self._others
 
-    def send_to(self, ip: str) -> None:
+    def send_heartbeat(self, ip: str) -> None:
         self._simulation.send_gossip(self.me.name, ip)
 
 
--- a/rhubarbhinge/gateway/tests/test_attempts.py
+++ b/rhubarbhinge/gateway/tests/test_attempts.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.delegation import _delegates
+from rhubarbhinge.delegation import _client
 from rhubarbhinge.gateway import _shard_delegation
 from rhubarbhinge.gateway.tests.simulated_attempts import SHARDS_PER_ENTRY, SearchSimulation
 
@@ -24,7 +24,7 @@
 class AttemptsTest(unittest.TestCase):
     def setUp(self):
         # Thousands of links break, each of which would be logged.
-        silenced = mock.patch.object(_delegates, "log_event")
+        silenced = mock.patch.object(_client, "log_event")
         silenced.start()
         self.addCleanup(silenced.stop)
 
--- a/rhubarbhinge/gateway/tests/test_fatal_requests.py
+++ b/rhubarbhinge/gateway/tests/test_fatal_requests.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.delegation import _delegates
+from rhubarbhinge.delegation import _client
 from rhubarbhinge.gateway import _shard_delegation
 from rhubarbhinge.gateway.tests.simulated_attempts import SHARDS_PER_ENTRY
 from rhubarbhinge.gateway.tests.simulated_fatal import FATAL, FatalRequestSimulation
@@ -26,7 +26,7 @@
 
 class FatalRequestsTest(unittest.TestCase):
     def setUp(self):
-        for module in (_delegates, _quarantine):
+        for module in (_client, _quarantine):
             silenced = mock.patch.object(module, "log_event")
             silenced.start()
             self.addCleanup(silenced.stop)
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -107,7 +107,7 @@
 
     def announce_plan(self) -> None:
         """Announce a new serving plan to peers at the end of this event loop iteration."""
-        self._timers.after(0, self.membership.tell)
+        self._timers.after(0, self.membership.send_heartbeats)
 
     def leave(self) -> None:
         """Announce that this node is stopping."""
@@ -163,7 +163,7 @@
                 code = error.code
         if code:
             log_event("members-not-fetched", level="warning", ip=ip, code=code)
-        self._table_sync.fetched(not code)
+        self._table_sync.on_fetched(not code)
 
     def _check_peers(self) -> None:
         self._state_pull.check()
--- a/rhubarbhinge/peers/_reports.py
+++ b/rhubarbhinge/peers/_reports.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from rhubarbhinge.members import Member, Published
+from rhubarbhinge.members import Member, PublishedStatus
 from rhubarbhinge.utils.revision import Revision
 
 MAX_REPORT_AGE_MS = 3_500.0
@@ -25,7 +25,7 @@
     received_ms: float
     plan_version: int = 0
 
-    def is_ahead_of(self, known: Published) -> bool:
+    def is_ahead_of(self, known: PublishedStatus) -> bool:
         """Check whether the node's state holds something that this node lacks.
 
         The serving plan counts by itself, as the platform may have lost a version that some nodes
@@ -61,7 +61,7 @@
         report = self._by_name.get(name)
         return None if report is None or now_ms - report.received_ms > MAX_REPORT_AGE_MS else report
 
-    def equal_to(self, known: Published, now_ms: float) -> list[PeerReport]:
+    def equal_to(self, known: PublishedStatus, now_ms: float) -> list[PeerReport]:
         """Return the reports of nodes with a confirmed state of the same revision.
 
         :param known: the state of this node.
@@ -76,7 +76,7 @@
             and now_ms - report.received_ms <= MAX_REPORT_AGE_MS
         ]
 
-    def ahead_of(self, known: Published, now_ms: float) -> list[PeerReport]:
+    def ahead_of(self, known: PublishedStatus, now_ms: float) -> list[PeerReport]:
         """Return the reports of nodes whose state is ahead, and discard outdated reports.
 
         :param known: the state of this node.
--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -263,7 +263,7 @@
             # lowest name reads. A node that does not read says so at once.
             return self._uptime_ms() >= DISCOVERY_MS or (report is not None and report.age_ms >= 0)
         if report is None:
-            return self._membership.known_for_ms(member.name) >= MIN_KNOWN_MS
+            return self._membership.present_for_ms(member.name) >= MIN_KNOWN_MS
         return 0 <= report.age_ms <= MAX_READER_AGE_MS
 
     def _on_reader_outcome(
--- a/rhubarbhinge/peers/tests/test_state_pull.py
+++ b/rhubarbhinge/peers/tests/test_state_pull.py
@@ -108,7 +108,7 @@
     def test_invalid_datagrams_are_ignored(self):
         for data in (b"", b"[]", b'["vm-2"]', b"\xff" * 20_000):
             self.peers._on_datagram("127.0.0.9", self.port, data)
-        self.assertEqual(self.peers.membership.processes(), 1)
+        self.assertEqual(self.peers.membership.process_count(), 1)
 
     def test_node_that_stays_behind_pulls_from_peer(self):
         self.receive()
