--- a/rhubarbhinge/fleet/__init__.py
+++ b/rhubarbhinge/fleet/__init__.py
@@ -1,6 +1,12 @@
-"""Searchers as they are published and as they are observed."""
+"""Searchers as published by the platform and as observed by this process."""
 
-from rhubarbhinge.fleet._choice import MaySend, Preference, always, best_searcher, expected_cost
+from rhubarbhinge.fleet._choice import (
+    CostFunction,
+    MaySend,
+    allow_all,
+    best_searcher,
+    expected_cost,
+)
 from rhubarbhinge.fleet._cold_rule import ColdRule
 from rhubarbhinge.fleet._cold_sends import ColdSends
 from rhubarbhinge.fleet._delays import Delays
@@ -18,11 +24,11 @@
     "Fleet",
     "MaySend",
     "ObservedSearcher",
-    "Preference",
+    "CostFunction",
     "Searcher",
     "SearcherStart",
     "ToldLoad",
-    "always",
+    "allow_all",
     "best_searcher",
     "expected_cost",
 ]
--- a/rhubarbhinge/fleet/_choice.py
+++ b/rhubarbhinge/fleet/_choice.py
@@ -1,4 +1,4 @@
-"""Which searcher of a service gets a request."""
+"""Chooses the searcher of a service that receives a request."""
 
 import random
 from collections.abc import Callable, Collection, Iterable
@@ -6,37 +6,42 @@
 from rhubarbhinge.fleet._observed import ObservedSearcher
 from rhubarbhinge.fleet._searcher import SearcherStart
 
-FAR_HANDICAP_MS = 8.0
-"""Cost of another failure domain: two crossings of about 1 ms, and the bytes that are paid for."""
-FAR_HANDICAP_SHARE = 1.2
-"""What it costs besides, in usual delays: what is saved below the latency objective helps nobody,
-and searchers of one service differ by as much."""
-SLOW_FACTOR = 1.6
-"""A near searcher that is so much slower than usual has no advantage over those of other failure
-domains: it would be hedged each time, which spends the retry budget of its shard, while the first
-request to another one is free."""
+REMOTE_DOMAIN_COST_MS = 8.0
+"""Fixed cost of a searcher in another failure domain: two crossings of about 1 ms each, plus the
+charge for cross-domain traffic."""
+REMOTE_DOMAIN_COST_FACTOR = 1.2
+"""Additional cost of another failure domain, as a multiple of the typical latency. Searchers of one
+service differ by about this much, and a gain below the latency objective is of no use."""
+SLOW_THRESHOLD = 1.6
+"""A local searcher slower than usual by this factor has no advantage over remote ones. It would be
+hedged each time, which consumes the retry budget of its shard, while a first request to a remote
+searcher consumes none."""
 COLD_FACTOR = 1.6
-"""How much slower a searcher is just after its start, where its entry does not tell."""
-REFUSAL_FACTOR = 4.0
-"""Cost of a sure refusal in usual delays: it spends the retry budget, which is soon used up."""
+"""Slowdown assumed for a searcher just after its start if its published entry does not state one.
+"""
+REFUSAL_COST_FACTOR = 4.0
+"""Cost of a certain refusal, as a multiple of the typical latency. A refusal consumes retry budget,
+which is soon exhausted."""
 JITTER = 0.1
-"""Random share of the cost, so that processes that know the same don't choose the same."""
-SUSPECT_HANDICAP_MS = 10_000.0
-"""Puts a searcher that was silent or refused behind all others, as a last resort."""
+"""Random fraction added to the cost, so that processes with the same information make different
+choices."""
+AVOIDED_COST_MS = 10_000.0
+"""Makes searchers that were unresponsive or refused recently a last resort."""
 
-Preference = Callable[[ObservedSearcher, float, float], float]
-"""Gives the cost of a searcher from the usual delay and the time; the least is chosen."""
+CostFunction = Callable[[ObservedSearcher, float, float], float]
+"""Returns the cost of a searcher, given the typical latency and the current time; the lowest wins.
+"""
 
 MaySend = Callable[[ObservedSearcher, float], bool]
-"""Tells whether a searcher may get a request at a time; what it refuses is passed over."""
+"""Tells whether a searcher may receive a request at a given time; others are skipped."""
 
 
-def always(observed: ObservedSearcher, now_ms: float) -> bool:
-    """Let every searcher get requests.
+def allow_all(observed: ObservedSearcher, now_ms: float) -> bool:
+    """Allow every searcher to receive requests.
 
     :param observed: the searcher.
-    :param now_ms: the time.
-    :returns: true.
+    :param now_ms: current time.
+    :returns: always True.
     """
     return True
 
@@ -44,16 +49,17 @@
 def expected_cost(
     domain: str,
     rng: random.Random,
-    far_handicap_ms: float = FAR_HANDICAP_MS,
-    far_handicap_share: float = FAR_HANDICAP_SHARE,
-) -> Preference:
-    """Make the preference for the searcher that is expected to answer first.
+    remote_cost_ms: float = REMOTE_DOMAIN_COST_MS,
+    remote_cost_factor: float = REMOTE_DOMAIN_COST_FACTOR,
+) -> CostFunction:
+    """Create a cost function that prefers the searcher with the lowest expected latency.
 
     :param domain: failure domain of this process.
-    :param rng: spreads the choice.
-    :param far_handicap_ms: cost of another failure domain.
-    :param far_handicap_share: what it costs besides, in usual delays.
-    :returns: the preference.
+    :param rng: source of the jitter.
+    :param remote_cost_ms: fixed cost of another failure domain.
+    :param remote_cost_factor: additional cost of another failure domain, as a multiple of the
+        typical latency.
+    :returns: the cost function.
     """
 
     def cost(observed: ObservedSearcher, typical_ms: float, now_ms: float) -> float:
@@ -64,14 +70,14 @@
             own_ms *= COLD_FACTOR
         open_requests = len(observed.started_ms)
         cost_ms = own_ms * (1.0 + open_requests / max(1, searcher.capacity))
-        cost_ms += REFUSAL_FACTOR * observed.refusal_share(now_ms) * typical_ms
+        cost_ms += REFUSAL_COST_FACTOR * observed.refusal_share(now_ms) * typical_ms
         overdue_ms = observed.oldest_ms(now_ms) - 2.0 * own_ms
         if overdue_ms > 0:
             cost_ms += overdue_ms + own_ms
-        if searcher.failure_domain != domain or slowness >= SLOW_FACTOR:
-            cost_ms += far_handicap_ms + far_handicap_share * typical_ms
+        if searcher.failure_domain != domain or slowness >= SLOW_THRESHOLD:
+            cost_ms += remote_cost_ms + remote_cost_factor * typical_ms
         if observed.is_avoided(now_ms):
-            cost_ms += SUSPECT_HANDICAP_MS
+            cost_ms += AVOIDED_COST_MS
         return cost_ms * (1.0 + JITTER * rng.random())
 
     return cost
@@ -79,21 +85,21 @@
 
 def best_searcher(
     candidates: Iterable[ObservedSearcher],
-    preference: Preference,
+    preference: CostFunction,
     typical_ms: float,
     now_ms: float,
     tried: Collection[SearcherStart] = (),
-    may_send: MaySend = always,
+    may_send: MaySend = allow_all,
 ) -> ObservedSearcher | None:
-    """Choose the searcher with the least cost among those that can be reached.
-
-    :param candidates: the searchers of a service.
-    :param preference: gives the cost of each.
-    :param typical_ms: the usual delay of such requests.
-    :param now_ms: the time.
-    :param tried: starts of searchers that are left out.
-    :param may_send: tells which may get a request now.
-    :returns: the searcher, or None when there is none.
+    """Choose the reachable searcher with the lowest cost.
+
+    :param candidates: searchers of the service.
+    :param preference: cost function.
+    :param typical_ms: typical latency of such requests.
+    :param now_ms: current time.
+    :param tried: starts of searchers to exclude.
+    :param may_send: tells which searchers may receive a request now.
+    :returns: the searcher, or None if there is none.
     """
     best, least = None, float("inf")
     for observed in candidates:
--- a/rhubarbhinge/fleet/_cold_rule.py
+++ b/rhubarbhinge/fleet/_cold_rule.py
@@ -1,22 +1,22 @@
-"""How much a cold searcher may get."""
+"""Rate limit for cold searchers."""
 
 from msgspec import Struct
 
 
 class ColdRule(Struct, frozen=True):
-    """How much a cold searcher may get in a second, from all processes together.
+    """Limit on the requests per second sent to a cold searcher by all processes together.
 
-    :param overage: factor on the rate that its service names.
-    :param slack: requests on top.
+    :param overage: factor applied to the rate that the service configures.
+    :param slack: number of requests allowed on top.
     """
 
     overage: float = 1.0
     slack: float = 0.0
 
     def most_requests(self, per_s: float) -> int:
-        """Work out the bound.
+        """Compute the limit.
 
-        :param per_s: the rate that the service names.
-        :returns: most whole requests in any second.
+        :param per_s: rate that the service configures.
+        :returns: maximum number of requests in any second.
         """
         return int(per_s * self.overage + self.slack)
--- a/rhubarbhinge/fleet/_cold_sends.py
+++ b/rhubarbhinge/fleet/_cold_sends.py
@@ -1,20 +1,21 @@
-"""What was sent lately to a searcher that is cold."""
+"""Counts the requests sent recently to a cold searcher."""
 
 from collections import deque
 
 WINDOW_MS = 1_050.0
-"""The second over which a cold searcher's requests are limited, and what the clocks of two hosts
-may differ by in it."""
+"""Window over which requests to a cold searcher are limited: one second, plus the clock rate
+difference between two hosts over it."""
 
 
 class ColdSends:
-    """Requests of this process to one searcher in a sliding second.
+    """Counts the requests of this process to one searcher over a sliding window of one second.
 
-    A request counts from the choice of the searcher on, and for a second after it was handed to a
-    connection: until then it is not known when it will arrive.
+    A request counts from the moment the searcher is chosen until one second after the request was
+    written to a connection: until it is written, its time of arrival is unknown.
 
-    :param now_ms: the time.
-    :param known: whether all requests of the second before are counted from the start.
+    :param now_ms: current time.
+    :param known: whether the requests of the preceding second are already accounted for; otherwise
+        no request is allowed during the first window.
     """
 
     __slots__ = ("_unsent", "_sent_ms", "_blocked_until_ms")
@@ -25,41 +26,41 @@
         self._blocked_until_ms = now_ms if known else now_ms + WINDOW_MS
 
     def has_room(self, most: int, now_ms: float) -> bool:
-        """Tell whether one more request may be sent.
+        """Check whether one more request may be sent.
 
-        :param most: most requests in a second.
-        :param now_ms: the time.
-        :returns: whether there are fewer.
+        :param most: maximum number of requests per second.
+        :param now_ms: current time.
+        :returns: True if the count is below the maximum.
         """
         if now_ms < self._blocked_until_ms:
             return False
-        self._forget(now_ms)
+        self._expire(now_ms)
         return len(self._unsent) + len(self._sent_ms) < most
 
     def on_chosen(self, attempt: int) -> None:
-        """Note a request for which the searcher was chosen.
+        """Record a request for which the searcher was chosen.
 
         :param attempt: identifies the request.
         """
         self._unsent.add(attempt)
 
     def on_sent(self, attempt: int, now_ms: float) -> None:
-        """Note that a request was handed to a connection.
+        """Record that a request was written to a connection.
 
         :param attempt: identifies the request.
-        :param now_ms: the time.
+        :param now_ms: current time.
         """
         self._unsent.discard(attempt)
-        self._forget(now_ms)
+        self._expire(now_ms)
         self._sent_ms.append(now_ms)
 
     def on_withdrawn(self, attempt: int) -> None:
-        """Note that a request was not handed to a connection after all.
+        """Record that a request will not be written to a connection after all.
 
         :param attempt: identifies the request.
         """
         self._unsent.discard(attempt)
 
-    def _forget(self, now_ms: float) -> None:
+    def _expire(self, now_ms: float) -> None:
         while self._sent_ms and now_ms - self._sent_ms[0] > WINDOW_MS:
             self._sent_ms.popleft()
--- a/rhubarbhinge/fleet/_fleet.py
+++ b/rhubarbhinge/fleet/_fleet.py
@@ -1,4 +1,4 @@
-"""All searchers that this process knows."""
+"""All searchers known to this process."""
 
 from collections.abc import Callable, Iterable
 
@@ -7,16 +7,17 @@
 
 
 class Fleet:
-    """All searchers that this process knows, by service.
+    """All searchers known to this process, by service.
 
-    Leaving is final for a start of a searcher: what was published as draining, or was found to have
-    left, gets no new request whatever is published of this start later. A later start under the
-    same id is another searcher: nothing that was learned of the one before holds for it.
+    Leaving is final for a start of a searcher: once it was published as draining, or found to be
+    gone, it receives no new requests, whatever is published about this start later. A later start
+    under the same id is treated as a different searcher: nothing learned about the earlier one
+    applies to it.
 
-    Those of a failure domain that is evacuated get no new request either, until it is no longer.
+    Searchers of an evacuated failure domain receive no new requests until the evacuation ends.
 
-    :param now_ms: gives the time.
-    :param on_left: told each searcher that may get no new request any more.
+    :param now_ms: returns the current time.
+    :param on_left: called with each searcher that no longer receives new requests.
     """
 
     def __init__(self, now_ms: Callable[[], float], on_left: Callable[[ObservedSearcher], None]):
@@ -27,40 +28,41 @@
         self._evacuated: set[str] = set()
 
     def of(self, service: str) -> Iterable[ObservedSearcher]:
-        """Give the searchers of a service.
+        """Return the searchers of a service.
 
-        :param service: the service's name.
-        :returns: all that are known, those that leave included.
+        :param service: name of the service.
+        :returns: all known searchers, including those that are leaving.
         """
         return self._by_service.get(service, {}).values()
 
     def is_published(self, service: str) -> bool:
-        """Tell whether a service has a searcher that is not leaving, reachable from here or not.
+        """Check whether a service has a searcher that accepts new requests, reachable or not.
 
-        :param service: the service's name.
-        :returns: whether one is published.
+        :param service: name of the service.
+        :returns: True if one is published.
         """
         return any(one.usable for one in self.of(service))
 
     def is_reachable(self, service: str) -> bool:
-        """Tell whether a service has a searcher that may get requests.
+        """Check whether a service has a searcher that can receive requests.
 
-        :param service: the service's name.
-        :returns: whether one is neither leaving nor down.
+        :param service: name of the service.
+        :returns: True if one is neither leaving nor down.
         """
         return any(one.usable and not one.is_down for one in self.of(service))
 
     def all(self) -> Iterable[ObservedSearcher]:
-        """Give all searchers.
+        """Return all searchers.
 
-        :returns: all that are known.
+        :returns: all known searchers.
         """
         return self._by_incarnation.values()
 
     def put(self, searcher: Searcher) -> None:
-        """Take what is published about a searcher.
+        """Add or update a searcher.
 
-        :param searcher: what is published; if it is another start than the known one, a later one.
+        :param searcher: published state; if its start differs from the known one, it is a later
+            start.
         """
         known = self._by_incarnation.get(searcher.incarnation)
         if known is not None and not known.searcher.is_same_start(searcher):
@@ -82,10 +84,10 @@
             self._on_left(known)
 
     def set_evacuated(self, failure_domain: str, evacuated: bool) -> None:
-        """Keep requests from the searchers of a failure domain, or let them have some again.
+        """Start or end the evacuation of a failure domain.
 
         :param failure_domain: the domain.
-        :param evacuated: whether they get none.
+        :param evacuated: whether its searchers receive no new requests.
         """
         if evacuated:
             self._evacuated.add(failure_domain)
@@ -102,9 +104,9 @@
                 observed.on_returned(self._now_ms())
 
     def remove(self, incarnation: str) -> None:
-        """Forget a searcher whose entry is gone.
+        """Remove a searcher whose published entry was deleted.
 
-        :param incarnation: the searcher.
+        :param incarnation: id of the searcher.
         """
         known = self._by_incarnation.pop(incarnation, None)
         if known is None:
@@ -118,9 +120,9 @@
             self._on_left(known)
 
     def mark_gone(self, observed: ObservedSearcher) -> None:
-        """Note that another searcher answered at this one's address.
+        """Record that another searcher replied at this searcher's address.
 
-        :param observed: the searcher that has gone.
+        :param observed: the searcher that is gone.
         """
         if not observed.gone:
             observed.gone = True
--- a/rhubarbhinge/fleet/_observed.py
+++ b/rhubarbhinge/fleet/_observed.py
@@ -1,35 +1,38 @@
-"""A searcher as this process observes it."""
+"""Statistics and state of a searcher as observed by this process."""
 
 from rhubarbhinge.fleet._cold_sends import WINDOW_MS, ColdSends
 from rhubarbhinge.fleet._searcher import Searcher
 
 SMOOTHING = 0.3
-"""Weight of a new observation; three slow replies in a row make most of the estimate."""
+"""Weight of a new observation; after three slow replies in a row they dominate the estimate."""
 SLOWNESS_HALF_LIFE_MS = 4_000.0
-"""Without news an estimate above 1 falls by half in this time, so that the searcher is tried."""
-MOST_SLOWNESS = 20.0
-"""Cap of the estimate, so that a searcher that hung comes back within a few half-lives."""
+"""Half-life of an estimate above 1 without new observations, so that the searcher is tried again.
+"""
+MAX_SLOWNESS = 20.0
+"""Upper bound of the estimate, so that a searcher that hung recovers within a few half-lives."""
 REFUSAL_SMOOTHING = 0.2
-"""Weight of a new observation in the share of refusals; some ten requests tell a shedding one."""
+"""Weight of a new observation in the refusal rate; about ten requests identify a searcher that
+sheds load."""
 REFUSAL_HALF_LIFE_MS = 3_000.0
-"""The share of refusals falls by half in this time without news."""
-SHED_PAUSE_MS = 60.0
-"""How long a searcher that refused is avoided; about one execution, after which a slot is free."""
-LOSSES_TO_SUSPECT = 2
-"""Connections that broke in a row before a reply, after which a searcher is avoided."""
+"""Half-life of the refusal rate without new observations."""
+REFUSAL_PAUSE_MS = 60.0
+"""How long a searcher that refused is avoided: about one execution, after which a slot is free."""
+LOSSES_TO_AVOID = 2
+"""Number of consecutive connections broken before a reply after which a searcher is avoided."""
 LOSS_PAUSE_MS = 250.0
-"""How long it is then avoided; about as long as searchers pause."""
+"""How long such a searcher is avoided: about as long as searchers pause."""
 
 
 class ObservedSearcher:
-    """A start of a searcher as this process observes it.
-
-    :param searcher: what is published about it.
-    :param now_ms: the time.
-    :ivar start: tells it from other starts, also of the same id; it never changes.
-    :ivar evacuated: whether its failure domain is to get no requests.
-    :ivar returned_ms: when it was last reached again, or its domain was no longer evacuated; it may
-        have become cold meanwhile. Minus infinity if that never was.
+    """A start of a searcher as observed by this process.
+
+    :param searcher: published state of the searcher.
+    :param now_ms: current time.
+    :ivar start: identifies this start among all others, including those with the same id; it never
+        changes.
+    :ivar evacuated: whether the failure domain of the searcher is evacuated.
+    :ivar returned_ms: time at which the searcher last became reachable again, or the evacuation of
+        its domain ended; it may be cold since. Minus infinity if neither has happened.
     """
 
     __slots__ = (
@@ -41,7 +44,7 @@
         "evacuated",
         "is_down",
         "returned_ms",
-        "_used_ms",
+        "_last_used_ms",
         "_cold_sends",
         "_slowness",
         "_slowness_ms",
@@ -60,7 +63,7 @@
         self.evacuated = False
         self.is_down = False
         self.returned_ms = float("-inf")
-        self._used_ms = float("-inf")
+        self._last_used_ms = float("-inf")
         self._cold_sends: ColdSends | None = None
         self._slowness = 1.0
         self._slowness_ms = now_ms
@@ -71,50 +74,50 @@
 
     @property
     def usable(self) -> bool:
-        """Whether new requests may be sent to it."""
+        """Whether new requests may be sent to the searcher."""
         return not self.is_leaving and not self.evacuated
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it gets no new requests for good."""
+        """Whether the searcher receives no new requests permanently."""
         return self.gone or self.searcher.draining
 
     @property
     def has_returned(self) -> bool:
-        """Whether it was out of use for a while, and is used again."""
+        """Whether the searcher is in use again after it was out of use for some time."""
         return self.returned_ms > float("-inf")
 
     def cold_sends(self, now_ms: float) -> ColdSends:
-        """Give what is counted of its requests while it is cold.
+        """Return the counter of requests sent while the searcher is cold, creating it on first use.
 
-        :param now_ms: the time.
-        :returns: the counts, kept from now on.
+        :param now_ms: current time.
+        :returns: the counter, which is maintained from now on.
         """
         if self._cold_sends is None:
-            known = not self.started_ms and now_ms - self._used_ms > WINDOW_MS
+            known = not self.started_ms and now_ms - self._last_used_ms > WINDOW_MS
             self._cold_sends = ColdSends(now_ms, known)
         return self._cold_sends
 
     def on_returned(self, now_ms: float) -> None:
-        """Note that it may get requests again.
+        """Record that the searcher may receive requests again.
 
-        :param now_ms: the time.
+        :param now_ms: current time.
         """
         self.returned_ms = now_ms
 
     def is_avoided(self, now_ms: float) -> bool:
-        """Tell whether it refused or broke off just now, or can't be reached.
+        """Check whether the searcher refused or broke a connection recently, or is unreachable.
 
-        :param now_ms: the time.
-        :returns: whether another searcher is to be preferred whatever its delays.
+        :param now_ms: current time.
+        :returns: True if any other searcher is preferred, regardless of its latency.
         """
         return self.is_down or now_ms < self._avoid_until_ms
 
     def slowness(self, now_ms: float) -> float:
-        """Estimate how much slower it is than usual.
+        """Estimate the latency of the searcher relative to the typical one.
 
-        :param now_ms: the time.
-        :returns: a factor; 1 for the usual.
+        :param now_ms: current time.
+        :returns: a factor; 1 if the latency is typical.
         """
         if self._slowness <= 1.0:
             return self._slowness
@@ -122,47 +125,47 @@
         return 1.0 + (self._slowness - 1.0) * 0.5**age
 
     def refusal_share(self, now_ms: float) -> float:
-        """Estimate the share of requests that it refuses.
+        """Estimate the fraction of requests that the searcher refuses.
 
-        :param now_ms: the time.
-        :returns: 0 to 1.
+        :param now_ms: current time.
+        :returns: a fraction from 0 to 1.
         """
         age = (now_ms - self._refusals_ms) / REFUSAL_HALF_LIFE_MS
         return self._refusals * 0.5**age
 
     def oldest_ms(self, now_ms: float) -> float:
-        """Tell how long the oldest open request has been waiting.
+        """Return the age of the oldest open request.
 
-        :param now_ms: the time.
-        :returns: its age; 0 when none is open.
+        :param now_ms: current time.
+        :returns: the age; 0 if no request is open.
         """
         if not self.started_ms:
             return 0.0
         return now_ms - next(iter(self.started_ms.values()))
 
     def on_sent(self, attempt: int, now_ms: float) -> None:
-        """Note a request sent to it, which may yet wait for a connection.
+        """Record a request to the searcher, which may still be queued for a connection.
 
         :param attempt: identifies the request.
-        :param now_ms: the time.
+        :param now_ms: current time.
         """
         self.started_ms[attempt] = now_ms
-        self._used_ms = now_ms
+        self._last_used_ms = now_ms
         if self._cold_sends is not None:
             self._cold_sends.on_chosen(attempt)
 
     def on_written(self, attempt: int, now_ms: float) -> None:
-        """Note that a request was handed to a connection.
+        """Record that a request was written to a connection.
 
         :param attempt: identifies the request.
-        :param now_ms: the time.
+        :param now_ms: current time.
         """
-        self._used_ms = now_ms
+        self._last_used_ms = now_ms
         if self._cold_sends is not None:
             self._cold_sends.on_sent(attempt, now_ms)
 
     def on_withdrawn(self, attempt: int) -> None:
-        """Note that a request was not handed to a connection after all.
+        """Record that a request will not be written to a connection after all.
 
         :param attempt: identifies the request.
         """
@@ -171,12 +174,12 @@
             self._cold_sends.on_withdrawn(attempt)
 
     def on_reply(self, attempt: int, delay_ms: float, typical_ms: float, now_ms: float) -> None:
-        """Note a reply.
+        """Record a reply.
 
         :param attempt: identifies the request.
-        :param delay_ms: time since it was sent.
-        :param typical_ms: the usual delay of such requests.
-        :param now_ms: the time.
+        :param delay_ms: time since the request was sent.
+        :param typical_ms: typical latency of such requests.
+        :param now_ms: current time.
         """
         self.started_ms.pop(attempt, None)
         self._losses = 0
@@ -186,58 +189,58 @@
             self._observe_refusal(0.0, now_ms)
 
     def on_failure(self, attempt: int, now_ms: float) -> None:
-        """Note a reply that says that it failed, which costs it some standing.
+        """Record an error reply, which counts as a slow one.
 
         :param attempt: identifies the request.
-        :param now_ms: the time.
+        :param now_ms: current time.
         """
         self.started_ms.pop(attempt, None)
         self._losses = 0
-        self._observe(MOST_SLOWNESS / 4, now_ms)
+        self._observe(MAX_SLOWNESS / 4, now_ms)
 
     def on_refused(self, attempt: int, now_ms: float) -> None:
-        """Note that it refused a request for want of room.
+        """Record that the searcher refused a request because it was overloaded.
 
         :param attempt: identifies the request.
-        :param now_ms: the time.
+        :param now_ms: current time.
         """
         self.started_ms.pop(attempt, None)
-        self._avoid_until_ms = now_ms + SHED_PAUSE_MS
+        self._avoid_until_ms = now_ms + REFUSAL_PAUSE_MS
         self._observe_refusal(1.0, now_ms)
 
     def on_unreachable(self) -> None:
-        """Note that no connection could be made; it is down until one can."""
+        """Record that no connection could be established; the searcher is down until one can."""
         self.is_down = True
 
     def on_connected(self, now_ms: float) -> None:
-        """Note that a connection was made.
+        """Record that a connection was established.
 
-        :param now_ms: the time.
+        :param now_ms: current time.
         """
         if self.is_down:
             self.is_down = False
             self.on_returned(now_ms)
 
     def on_lost(self, attempt: int, now_ms: float) -> None:
-        """Note a connection that ended before the reply.
+        """Record a connection that was closed before the reply.
 
         :param attempt: identifies the request.
-        :param now_ms: the time.
+        :param now_ms: current time.
         """
         self.started_ms.pop(attempt, None)
         self._losses += 1
-        if self._losses >= LOSSES_TO_SUSPECT:
+        if self._losses >= LOSSES_TO_AVOID:
             self._avoid_until_ms = now_ms + LOSS_PAUSE_MS
 
     def on_cancelled(
         self, attempt: int, waited_ms: float, typical_ms: float, now_ms: float
     ) -> None:
-        """Note a request that was cancelled; its delay would have been longer than the wait.
+        """Record a cancelled request; its latency would have been longer than the time waited.
 
         :param attempt: identifies the request.
-        :param waited_ms: time since it was sent.
-        :param typical_ms: the usual delay of such requests.
-        :param now_ms: the time.
+        :param waited_ms: time since the request was sent.
+        :param typical_ms: typical latency of such requests.
+        :param now_ms: current time.
         """
         if self.started_ms.pop(attempt, None) is None:
             return
@@ -247,7 +250,7 @@
 
     def _observe(self, ratio: float, now_ms: float) -> None:
         old = self.slowness(now_ms)
-        self._slowness = old + SMOOTHING * (min(ratio, MOST_SLOWNESS) - old)
+        self._slowness = old + SMOOTHING * (min(ratio, MAX_SLOWNESS) - old)
         self._slowness_ms = now_ms
 
     def _observe_refusal(self, refused: float, now_ms: float) -> None:
--- a/rhubarbhinge/fleet/_searcher.py
+++ b/rhubarbhinge/fleet/_searcher.py
@@ -1,4 +1,4 @@
-"""A searcher as it is published."""
+"""Published state of a searcher."""
 
 import zlib
 from typing import NamedTuple
@@ -18,13 +18,13 @@
 
 
 class SearcherStart(NamedTuple):
-    """Tells one start of a searcher from all others.
+    """Identifies one start of a searcher among all others.
 
-    :ivar incarnation: the searcher's id, which a later start may have as well.
-    :ivar started_unix_ms: when it started, by its own clock; None when it is not told.
-    :ivar service: name of its service, which a process doesn't change.
-    :ivar ip: its IP address.
-    :ivar port: its port.
+    :ivar incarnation: id of the searcher, which a later start may reuse.
+    :ivar started_unix_ms: start time by the searcher's own clock; None if not published.
+    :ivar service: name of the service, which a process does not change.
+    :ivar ip: IP address.
+    :ivar port: port.
     """
 
     incarnation: str
@@ -35,25 +35,25 @@
 
     @property
     def mark(self) -> int:
-        """A number of 32 bits that is the same for this start at all entries."""
+        """32-bit checksum of the start, which is the same at all entries."""
         return zlib.crc32(repr(tuple(self)).encode())
 
 
 class Searcher(Struct, frozen=True):
-    """One start of a searcher, as it is published.
-
-    A searcher may start again under its id, and then holds and knows nothing of before. What tells
-    the starts of one id apart is when each was; without that, the address and the service.
-
-    :param incarnation: identifies the searcher; it is sent as the value of a header.
-    :param service: name of its service.
-    :param ip: its IP address, which another searcher may get later.
-    :param port: its port.
-    :param failure_domain: where it runs.
-    :param capacity: how many requests it executes at a time.
-    :param draining: whether it is about to leave.
-    :param warmup_ms: how much longer it was slow after its start when this was published.
-    :param started_unix_ms: when it started, by its own clock; None when it is not told.
+    """Published state of one start of a searcher.
+
+    A searcher may restart under the same id, and then retains nothing from before. The starts of
+    one id are distinguished by their start time or, if it is not published, by address and service.
+
+    :param incarnation: id of the searcher; sent as a header value.
+    :param service: name of the service.
+    :param ip: IP address, which another searcher may use later.
+    :param port: port.
+    :param failure_domain: failure domain in which the searcher runs.
+    :param capacity: number of requests that the searcher executes concurrently.
+    :param draining: whether the searcher is about to leave.
+    :param warmup_ms: remaining warm-up time at the time of publication.
+    :param started_unix_ms: start time by the searcher's own clock; None if not published.
     """
 
     incarnation: HeaderName
@@ -68,44 +68,46 @@
 
     @property
     def start(self) -> SearcherStart:
-        """Tells this start from all others."""
+        """Identifies this start among all others."""
         return SearcherStart(
             self.incarnation, self.started_unix_ms, self.service, self.ip, self.port
         )
 
     def may_have_started_at(self, started_unix_ms: int | None) -> bool:
-        """Tell whether this may be the start of a time.
+        """Check whether this start is compatible with a start time.
 
-        :param started_unix_ms: the time; None when it is not known.
-        :returns: whether the times are equal, or one of them is not known.
+        :param started_unix_ms: the start time; None if unknown.
+        :returns: True if the times are equal or one of them is unknown.
         """
         known = started_unix_ms is not None and self.started_unix_ms is not None
         return not known or started_unix_ms == self.started_unix_ms
 
     def is_same_start(self, other: "Searcher") -> bool:
-        """Tell whether another entry of the same id describes the same start.
+        """Check whether another entry of the same id describes the same start.
 
-        :param other: the entry.
-        :returns: whether neither the time of the start, nor the address or the service differs.
+        :param other: the other entry.
+        :returns: True if neither start time, address nor service differ.
         """
         same_place = (self.ip, self.port, self.service) == (other.ip, other.port, other.service)
         return same_place and self.may_have_started_at(other.started_unix_ms)
 
     def started_before(self, other: "Searcher") -> bool:
-        """Tell whether this is an earlier start than another one of the same id.
+        """Check whether this start is earlier than another one of the same id.
 
-        :param other: the other one.
-        :returns: whether both times are known and this one's is the earlier.
+        :param other: the other start.
+        :returns: True if both start times are known and this one is earlier.
         """
         known = self.started_unix_ms is not None and other.started_unix_ms is not None
         return known and self.started_unix_ms < other.started_unix_ms
 
     def updated_by(self, later: "Searcher") -> "Searcher":
-        """Take what is published later about the same start.
+        """Apply a later publication about the same start.
 
-        :param later: what is published.
-        :returns: that, with the time of the start where only this one tells it, as entries of an
-            earlier release hand on searchers without it, and draining for good.
+        The start time is kept if the later publication lacks it, as entries of earlier releases
+        forward searchers without it. Draining is never reverted.
+
+        :param later: the later publication.
+        :returns: the updated searcher.
         """
         if later.started_unix_ms is None and self.started_unix_ms is not None:
             later = replace(later, started_unix_ms=self.started_unix_ms)
--- a/rhubarbhinge/fleet/_told_load.py
+++ b/rhubarbhinge/fleet/_told_load.py
@@ -1,21 +1,22 @@
-"""How busy a searcher says that it is."""
+"""Load reported by a searcher."""
 
 from msgspec import Struct
 
-USUAL_WORK_PERCENT = 100
-"""Work takes as long as usual."""
+NOMINAL_WORK_PERCENT = 100
+"""Execution time is as usual."""
 
 
 class ToldLoad(Struct, frozen=True):
-    """How busy a searcher was when it replied; it lags, and may mislead.
+    """Load of a searcher at the time of its reply. It is out of date on arrival, and may be wrong.
 
-    :param running: requests that it executes.
-    :param waiting: requests that wait for a slot.
-    :param slots: requests that it executes at a time.
-    :param work_percent: how long work takes on its host at that moment; 100 is as usual.
+    :param running: number of requests being executed.
+    :param waiting: number of requests waiting for a slot.
+    :param slots: number of requests executed concurrently.
+    :param work_percent: current execution time on the host of the searcher, in percent of the usual
+        one.
     """
 
     running: int
     waiting: int
     slots: int
-    work_percent: int = USUAL_WORK_PERCENT
+    work_percent: int = NOMINAL_WORK_PERCENT
--- a/rhubarbhinge/fleet/tests/test_cold_sends.py
+++ b/rhubarbhinge/fleet/tests/test_cold_sends.py
@@ -1,4 +1,4 @@
-"""What is kept of the requests to a searcher that was cold once."""
+"""Counting of requests to cold searchers."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class ColdSendsTest(unittest.TestCase):
-    def test_only_the_last_second_is_kept_however_long_it_is_not_asked_for(self):
+    def test_expired_requests_are_dropped_without_queries(self):
         sends = ColdSends(0.0, known=True)
         for number in range(1_000):
             sends.on_chosen(number)
--- a/rhubarbhinge/fleet/tests/test_domain_reach.py
+++ b/rhubarbhinge/fleet/tests/test_domain_reach.py
@@ -1,4 +1,4 @@
-"""What is concluded of a failure domain from single hosts."""
+"""Detection of unreachable failure domains."""
 
 import unittest
 
@@ -11,24 +11,24 @@
         self.suspected: list[str] = []
         self.reach = DomainReach(lambda: self.now_ms, self.suspected.append)
 
-    def test_two_silent_hosts_make_their_domain_suspect(self):
+    def test_two_unreachable_hosts_make_their_domain_suspect(self):
         self.reach.on_unreachable("hall-b", "10.0.0.1")
         self.assertEqual(self.suspected, [])
         self.now_ms += 400.0
         self.reach.on_unreachable("hall-b", "10.0.0.2")
         self.assertEqual(self.suspected, ["hall-b"])
 
-    def test_one_host_again_and_again_is_one_host(self):
+    def test_repeated_reports_of_one_host_count_once(self):
         for _ in range(5):
             self.reach.on_unreachable("hall-b", "10.0.0.1")
         self.assertEqual(self.suspected, [])
 
-    def test_hosts_of_different_domains_are_not_added_up(self):
+    def test_hosts_of_different_domains_are_counted_separately(self):
         self.reach.on_unreachable("hall-b", "10.0.0.1")
         self.reach.on_unreachable("hall-c", "10.0.0.2")
         self.assertEqual(self.suspected, [])
 
-    def test_a_domain_that_is_heard_from_is_not_cut_off(self):
+    def test_a_domain_that_sends_data_is_not_suspected(self):
         self.reach.on_unreachable("hall-b", "10.0.0.1")
         self.now_ms += 100.0
         self.reach.on_heard("hall-b")
@@ -39,7 +39,7 @@
         self.reach.on_unreachable("hall-b", "10.0.0.3")
         self.assertEqual(self.suspected, ["hall-b"])
 
-    def test_hosts_that_failed_long_apart_count_alone(self):
+    def test_hosts_that_failed_outside_the_window_are_not_counted_together(self):
         self.reach.on_unreachable("hall-b", "10.0.0.1")
         self.now_ms += 5_000.0
         self.reach.on_unreachable("hall-b", "10.0.0.2")
--- a/rhubarbhinge/fleet/tests/test_fleet.py
+++ b/rhubarbhinge/fleet/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Searchers as published and as observed."""
+"""Published and observed searchers, and the choice among them."""
 
 import random
 import unittest
@@ -24,13 +24,13 @@
     def usable(self) -> list[str]:
         return [one.searcher.incarnation for one in self.fleet.of("shard") if one.usable]
 
-    def test_draining_is_final(self):
+    def test_draining_is_irreversible(self):
         self.fleet.put(replace(ONE, draining=True))
         self.fleet.put(replace(ONE, draining=False))
         self.assertEqual(self.usable(), ["i-2"])
         self.assertEqual(self.left, ["i-1"])
 
-    def test_an_address_taken_over_by_another_is_final(self):
+    def test_a_searcher_marked_gone_stays_unusable(self):
         observed = next(iter(self.fleet.of("shard")))
         self.fleet.mark_gone(observed)
         self.fleet.mark_gone(observed)
@@ -38,13 +38,13 @@
         self.assertEqual(self.usable(), ["i-2"])
         self.assertEqual(self.left, ["i-1"])
 
-    def test_a_removed_searcher_is_told_once(self):
+    def test_removal_is_reported_once(self):
         self.fleet.remove("i-1")
         self.fleet.remove("i-1")
         self.assertEqual(self.left, ["i-1"])
         self.assertEqual(self.usable(), ["i-2"])
 
-    def test_searchers_of_an_evacuated_domain_leave_and_come_back(self):
+    def test_searchers_are_usable_again_after_an_evacuation(self):
         self.fleet.put(replace(TWO, failure_domain="hall-b"))
         self.fleet.set_evacuated("hall-b", True)
         self.fleet.put(Searcher("i-3", "shard", "10.0.0.3", 80, "hall-b", 2))
@@ -56,7 +56,7 @@
         self.fleet.set_evacuated("hall-b", False)
         self.assertEqual(self.usable(), ["i-1", "i-2", "i-3"])
 
-    def test_a_searcher_that_leaves_an_evacuated_domain_is_gone_for_good(self):
+    def test_a_searcher_that_drains_during_an_evacuation_stays_unusable(self):
         self.fleet.set_evacuated("hall-a", True)
         self.fleet.put(replace(ONE, draining=True))
         self.fleet.set_evacuated("hall-a", False)
@@ -85,12 +85,12 @@
         found = best_searcher(self.fleet.of("shard"), self.cost, 40.0, now_ms, tried)
         return found.searcher.incarnation if found else None
 
-    def test_a_busy_searcher_is_passed_over(self):
+    def test_a_busy_searcher_is_not_preferred(self):
         self.one.on_sent(1, 1_000.0)
         self.one.on_sent(2, 1_000.0)
         self.assertEqual(self.chosen(), "i-2")
 
-    def test_a_slow_searcher_is_passed_over_and_tried_again_later(self):
+    def test_a_slow_searcher_is_not_preferred_until_its_slowness_decays(self):
         for attempt in range(6):
             self.one.on_sent(attempt, 1_000.0)
             self.one.on_reply(attempt, 400.0, 40.0, 1_000.0)
@@ -99,30 +99,30 @@
         self.two.on_sent(10, 40_000.0)
         self.assertEqual(self.chosen(40_000.0), "i-1")
 
-    def test_a_searcher_that_refuses_is_passed_over_though_it_answers_fast(self):
+    def test_a_refusing_searcher_is_not_preferred_although_it_replies_fast(self):
         for attempt in range(4):
             self.one.on_sent(attempt, 1_000.0)
             self.one.on_refused(attempt, 1_000.0)
         self.two.on_sent(9, 1_190.0)
         self.assertEqual(self.chosen(1_200.0), "i-2")
 
-    def test_one_that_is_overdue_is_passed_over(self):
+    def test_a_searcher_with_an_overdue_reply_is_not_preferred(self):
         self.one.on_sent(1, 1_000.0)
         self.two.on_sent(2, 1_190.0)
         self.assertEqual(self.chosen(1_200.0), "i-2")
 
-    def test_down_draining_and_tried_ones_are_left_out(self):
+    def test_down_draining_and_tried_searchers_are_excluded(self):
         self.one.on_unreachable()
         self.assertEqual(self.chosen(), "i-2")
         self.assertIsNone(self.chosen(tried=(TWO.start,)))
         self.fleet.put(replace(TWO, draining=True))
         self.assertIsNone(self.chosen())
 
-    def test_near_ones_are_preferred_at_equal_load(self):
+    def test_local_searchers_are_preferred_at_equal_load(self):
         self.fleet.put(replace(ONE, failure_domain="hall-b"))
         self.assertEqual({self.chosen() for _ in range(20)}, {"i-2"})
 
-    def test_a_far_searcher_is_chosen_when_the_near_one_is_much_slower(self):
+    def test_a_remote_searcher_is_preferred_to_a_much_slower_local_one(self):
         self.fleet.put(replace(ONE, failure_domain="hall-b"))
         for slowness, expected in ((1.4, "i-2"), (1.8, "i-1"), (3.0, "i-1")):
             for attempt in range(12):
@@ -130,11 +130,13 @@
                 self.two.on_reply(attempt, slowness * 40.0, 40.0, 1_000.0)
             self.assertEqual({self.chosen() for _ in range(20)}, {expected})
 
-    def test_an_urgent_search_leaves_a_near_searcher_that_is_slow(self):
-        """Pattern: a seventh of all searchers slow, spread over all shards, for some seconds.
+    def test_an_urgent_search_avoids_a_slow_local_searcher(self):
+        """Guards against hedges that exhaust the retry budget.
 
-        Each entry meets one of them again after two seconds or so, and then hedges; where the near
-        one stays the first choice, hedges use the retry budget up, and shards are left out.
+        Scenario: one seventh of all searchers, spread over all shards, are slow for a few seconds.
+        Each entry uses one of them again about every two seconds and then hedges. If the slow local
+        searcher stays the first choice, the hedges exhaust the retry budget and shards are missing
+        from answers.
         """
         self.fleet.put(replace(ONE, failure_domain="hall-b"))
         self.two.on_sent(1, 1_000.0)
@@ -145,20 +147,20 @@
         }
         self.assertEqual(found, {"i-1"})
 
-    def test_a_near_searcher_that_paused_once_is_asked_again(self):
+    def test_a_local_searcher_is_used_again_after_a_single_pause(self):
         self.fleet.put(replace(ONE, failure_domain="hall-b"))
         self.two.on_sent(1, 1_000.0)
         self.two.on_cancelled(1, 30.0, 17.0, 1_000.0)
         self.assertEqual({self.chosen() for _ in range(20)}, {"i-2"})
 
-    def test_what_was_cancelled_counts_as_at_least_so_slow(self):
+    def test_a_cancelled_request_counts_with_the_time_waited(self):
         self.one.on_sent(1, 1_000.0)
         self.one.on_cancelled(1, 400.0, 40.0, 1_400.0)
         self.assertGreater(self.one.slowness(1_400.0), 2.0)
 
 
 class DelaysTest(unittest.TestCase):
-    def test_a_guess_stands_until_enough_were_seen(self):
+    def test_the_assumed_latency_is_used_until_enough_samples(self):
         delays = Delays(40.0)
         delays.add(1.0)
         self.assertEqual(delays.quantile(0.5), 40.0)
--- a/rhubarbhinge/forward/_surroundings.py
+++ b/rhubarbhinge/forward/_surroundings.py
@@ -1,8 +1,8 @@
-"""What requests under way share."""
+"""Dependencies shared by all calls."""
 
 from msgspec import Struct
 
-from rhubarbhinge.fleet import Fleet, MaySend, Preference, always
+from rhubarbhinge.fleet import CostFunction, Fleet, MaySend, allow_all
 from rhubarbhinge.forward._exchange import SendAttempt
 from rhubarbhinge.retries import RetryBudget
 from rhubarbhinge.telemetry import Metrics
@@ -10,21 +10,21 @@
 
 
 class Surroundings(Struct, frozen=True):
-    """What requests under way share.
+    """Dependencies shared by all calls.
 
     :param timers: the timer service.
-    :param fleet: the searchers.
-    :param preference: chooses among them.
-    :param budget: what may be sent beyond the first time.
+    :param fleet: known searchers.
+    :param preference: cost function for choosing a searcher.
+    :param budget: retry budget, which limits sends beyond the first.
     :param send: starts an exchange.
-    :param metrics: counts what is sent.
-    :param may_send: tells which searchers may get a request now.
+    :param metrics: counts the requests sent.
+    :param may_send: tells which searchers may receive a request now.
     """
 
     timers: TimerService
     fleet: Fleet
-    preference: Preference
+    preference: CostFunction
     budget: RetryBudget
     send: SendAttempt
     metrics: Metrics
-    may_send: MaySend = always
+    may_send: MaySend = allow_all
