--- a/rhubarbhinge/retries/__init__.py
+++ b/rhubarbhinge/retries/__init__.py
@@ -1,4 +1,4 @@
-"""The budget that retries and hedges of all processes share."""
+"""Retry budget shared by the retries and hedges of all processes."""
 
 from rhubarbhinge.retries._budget import BudgetRule, RetryBudget
 
--- a/rhubarbhinge/retries/_budget.py
+++ b/rhubarbhinge/retries/_budget.py
@@ -1,4 +1,4 @@
-"""The budget that retries and hedges of all processes share."""
+"""Retry budget shared by the retries and hedges of all processes."""
 
 from collections import Counter, deque
 from collections.abc import Callable, Iterable
@@ -6,14 +6,14 @@
 from msgspec import Struct
 
 BUCKET_MS = 500.0
-"""Counts are kept by half seconds; the window is off by one such span at most, on the safe side."""
+"""Resolution of the counts; the window is inaccurate by at most one bucket, on the safe side."""
 
 
 class BudgetRule(Struct, frozen=True):
-    """How much may be sent beyond the first time, by all processes together and to each service.
+    """Limit on the extra sends of all processes together to each service.
 
-    :param ratio: extra sends for each request, such as 0.2.
-    :param slack: extra sends on top, in one window.
+    :param ratio: extra sends allowed per request, such as 0.2.
+    :param slack: extra sends allowed on top per window.
     :param window_ms: length of the sliding window.
     """
 
@@ -23,48 +23,50 @@
 
 
 class RetryBudget:
-    """This process's part of the shared budget.
+    """This process's share of the retry budget.
 
-    Each process spends by its own requests, and its even part of the slack. So the sum keeps to the
-    rule without any exchange, as long as no more processes send than are counted.
+    Each process may spend in proportion to its own requests, plus an equal share of the slack. The
+    sum therefore stays within the limit without any coordination, as long as no more processes send
+    than are counted.
 
-    :param rule: the shared rule; may be replaced, but for its window.
-    :param now_ms: gives the time.
-    :param processes: gives how many processes may be sending.
-    :ivar granted: extra sends granted since the start.
-    :ivar refused: extra sends refused since the start.
+    :param rule: the shared limit; it may be replaced, except for its window.
+    :param now_ms: returns the current time.
+    :param processes: returns the number of processes that may be sending.
+    :ivar granted: number of extra sends granted since startup.
+    :ivar refused: number of extra sends refused since startup.
     """
 
     def __init__(self, rule: BudgetRule, now_ms: Callable[[], float], processes: Callable[[], int]):
         self.rule = rule
         self._now_ms = now_ms
         self._processes = processes
-        # Requests are forgotten early and extra sends late, as both are counted by buckets.
+        # Counts are kept in buckets: requests expire one bucket early and extra sends one bucket
+        # late, so that the limit is never exceeded.
         self._requests = _WindowCounts(rule.window_ms - BUCKET_MS)
-        self._extras = _WindowCounts(rule.window_ms + BUCKET_MS)
+        self._extra_sends = _WindowCounts(rule.window_ms + BUCKET_MS)
         self.granted = 0
         self.refused = 0
 
     def on_request(self, services: Iterable[str]) -> None:
-        """Count the first sends of a request.
+        """Count the first send of a request to each service.
 
-        :param services: the services it is for.
+        :param services: services that receive the request.
         """
         self._requests.add(services, self._now_ms())
 
     def left(self, service: str) -> float:
-        """Tell how much may still be sent now.
+        """Return the number of extra sends currently available.
 
-        :param service: the service.
-        :returns: number of extra sends; below 1 for none.
+        :param service: name of the service.
+        :returns: number of extra sends; below 1 if none is available.
         """
         now_ms = self._now_ms()
         slack = self.rule.slack / max(1, self._processes())
         allowed = self.rule.ratio * self._requests.count(service, now_ms) + slack
-        return allowed - self._extras.count(service, now_ms)
+        return allowed - self._extra_sends.count(service, now_ms)
 
     def least_left(self) -> float:
-        """Tell how much the service that has least may still be sent.
+        """Return the number of extra sends available to the service that has the fewest.
 
         :returns: number of extra sends; 0 before the first request.
         """
@@ -72,29 +74,29 @@
         return min((self.left(service) for service in services), default=0.0)
 
     def take(self, service: str) -> bool:
-        """Ask for one extra send.
+        """Request one extra send.
 
-        :param service: the service.
-        :returns: whether it may be sent; then it counts as sent.
+        :param service: name of the service.
+        :returns: True if it is granted, in which case it is counted as sent.
         """
         if self.left(service) < 1.0:
             self.refused += 1
             return False
         self.granted += 1
-        self._extras.add((service,), self._now_ms())
+        self._extra_sends.add((service,), self._now_ms())
         return True
 
 
 class _WindowCounts:
     """Counts by name over a sliding window.
 
-    :param window_ms: how long a count is kept at most.
+    :param window_ms: maximum time for which a count is kept.
     """
 
     def __init__(self, window_ms: float):
         self._window_ms = window_ms
         self._buckets: deque[tuple[float, Counter[str]]] = deque()
-        self._sums: Counter[str] = Counter()
+        self._totals: Counter[str] = Counter()
 
     def add(self, names: Iterable[str], now_ms: float) -> None:
         self._expire(now_ms)
@@ -103,18 +105,18 @@
         bucket = self._buckets[-1][1]
         for name in names:
             bucket[name] += 1
-            self._sums[name] += 1
+            self._totals[name] += 1
 
     def count(self, name: str, now_ms: float) -> int:
         self._expire(now_ms)
-        return self._sums[name]
+        return self._totals[name]
 
     def names(self) -> list[str]:
-        return [name for name, count in self._sums.items() if count]
+        return [name for name, count in self._totals.items() if count]
 
     def _expire(self, now_ms: float) -> None:
         while self._buckets and now_ms - self._buckets[0][0] > self._window_ms:
             _, bucket = self._buckets.popleft()
-            self._sums.subtract(bucket)
+            self._totals.subtract(bucket)
             if not self._buckets:
-                self._sums.clear()
+                self._totals.clear()
--- a/rhubarbhinge/retries/tests/test_budget.py
+++ b/rhubarbhinge/retries/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The shared retry budget."""
+"""Retry budget shared by all processes."""
 
 import random
 import unittest
@@ -14,16 +14,16 @@
         self.processes = 8
         self.budget = RetryBudget(RULE, lambda: self.now_ms, lambda: self.processes)
 
-    def test_without_requests_only_the_part_of_the_slack_is_there(self):
+    def test_without_requests_only_the_share_of_the_slack_is_available(self):
         self.assertEqual(sum(self.budget.take("s") for _ in range(50)), 7)
 
-    def test_requests_add_their_ratio(self):
+    def test_requests_add_budget_in_proportion(self):
         for _ in range(100):
             self.budget.on_request(("s", "t"))
         self.assertEqual(sum(self.budget.take("s") for _ in range(50)), 27)
         self.assertEqual(sum(self.budget.take("t") for _ in range(50)), 27)
 
-    def test_what_is_left_and_what_was_refused_is_told(self):
+    def test_remaining_budget_and_refusals_are_reported(self):
         self.assertEqual(self.budget.least_left(), 0.0)
         self.budget.on_request(("s", "t"))
         while self.budget.take("s"):
@@ -32,7 +32,7 @@
         self.assertLess(self.budget.least_left(), 1.0)
         self.assertGreater(self.budget.left("t"), 7.0)
 
-    def test_what_was_spent_comes_back_after_the_window(self):
+    def test_spent_budget_is_restored_after_the_window(self):
         while self.budget.take("s"):
             pass
         self.now_ms = 9_900.0
@@ -40,7 +40,7 @@
         self.now_ms = 11_100.0
         self.assertTrue(self.budget.take("s"))
 
-    def test_no_window_of_all_processes_together_exceeds_the_rule(self):
+    def test_no_window_of_all_processes_exceeds_the_limit(self):
         rng = random.Random(5)
         budgets = [RetryBudget(RULE, lambda: self.now_ms, lambda: 8) for _ in range(8)]
         requests: list[float] = []
