--- a/rhubarbhinge/quarantine/__init__.py
+++ b/rhubarbhinge/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the searchers that execute them: recognized, refused, tried again."""
+"""Detects requests that crash the searchers executing them, and quarantines these requests."""
 
 from rhubarbhinge.quarantine._quarantine import Quarantine
 from rhubarbhinge.quarantine._request_watch import RequestWatch
--- a/rhubarbhinge/quarantine/_quarantine.py
+++ b/rhubarbhinge/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that end the searchers that execute them, as this entry knows them."""
+"""Quarantine of requests that crash searchers, as known to this entry."""
 
 import random
 from collections import Counter, defaultdict
@@ -6,55 +6,57 @@
 
 from rhubarbhinge.quarantine._recent_replies import RecentReplies
 from rhubarbhinge.quarantine._request_watch import RequestWatch
-from rhubarbhinge.quarantine._suspicion import CONVICTING_ENDS, Suspicion, bounded
+from rhubarbhinge.quarantine._suspicion import ENDS_TO_QUARANTINE, Suspicion, limit_marks
 from rhubarbhinge.quarantine._verdict import ALLOWED, ONE_FIRST, Quarantined, Verdict
 from rhubarbhinge.telemetry import log_event
 
-FIRST_REST_MS = 60_000.0
-"""A request is refused for so long before it is tried again at one searcher. Shorter costs more
-searchers where it still ends them, longer keeps one out that a new release of them can take."""
-REST_FACTOR = 5.0
-"""Each trial that fails makes the next rest so much longer: three trials take half an hour."""
-MOST_REST_MS = 3_600_000.0
-"""Longest rest: one searcher an hour at most is lost to one request."""
-ANYBODY_AFTER_RESTS = 4.0
-"""So many rests after the last end any entry may try it: callers may not reach the one that is
-to."""
-FORGOTTEN_AFTER_RESTS = 8.0
-"""So many rests after the last end nothing is known against it any more."""
-SUSPECT_KEPT_MS = 30_000.0
-"""For so long a request under which one or two searchers ended goes to one searcher first."""
+INITIAL_QUARANTINE_MS = 60_000.0
+"""Duration of the first quarantine, after which the request is tried at one searcher. A shorter one
+costs more searchers while the request still crashes them; a longer one delays a request that a new
+release of the searchers can handle."""
+QUARANTINE_GROWTH_FACTOR = 5.0
+"""Factor by which each failed trial extends the next quarantine: three trials take half an hour."""
+MAX_QUARANTINE_MS = 3_600_000.0
+"""Maximum duration: one request costs at most one searcher per hour."""
+ANY_ENTRY_TRIAL_PERIODS = 4.0
+"""Number of quarantine durations since the last crash after which any entry may start a trial, as
+callers may not reach the entry that is assigned to it."""
+EXPIRY_PERIODS = 8.0
+"""Number of quarantine durations since the last crash after which the suspicion expires."""
+SUSPICION_TTL_MS = 30_000.0
+"""How long a request that crashed one or two searchers is sent to one searcher first."""
 TRIAL_MS = 2_000.0
-"""A trial that has not come out by then is taken for lost, and another request may be one."""
+"""Timeout after which a trial without an outcome is considered lost, and another may be started."""
 TRIAL_PAUSE_MS = 250.0
-"""Callers come back after so long while a trial is under way, which takes some 50 ms."""
-GOOD_MS = 2_000.0
-"""A request to which a searcher replied within so long is not accused: many callers may send the
-same one, and not all of them lose their searchers to it."""
+"""Retry delay reported to callers during a trial, which takes about 50 ms."""
+RECENT_REPLY_MS = 2_000.0
+"""A request that got a reply within this time is not suspected: many callers may send the same
+request, and not every crash during it is caused by it."""
 CAUTION_REQUESTS = 3
-"""So many different requests of one route that end searchers make every request of the route go to
-one searcher first: someone sends ever new ones."""
-CAUTION_MS = 60_000.0
-"""For so long each of them counts for that."""
-MOST_KNOWN = 256
-"""Requests that something is known against, some 300 KB; the one accused the longest ago makes
-room."""
-NEWEST_TOLD = 3
-"""Of what is known, the newest ride on each heartbeat, and as many others that are drawn: at most
-700 bytes, so that three heartbeats a second stay under half of the 5 KB for all of control."""
+"""Number of different quarantined requests of one route from which on every request of the route is
+sent to one searcher first, as someone keeps sending new requests that crash searchers."""
+CAUTION_WINDOW_MS = 60_000.0
+"""How long each of them counts towards that number."""
+MAX_SUSPICIONS = 256
+"""Maximum number of suspicions kept, about 300 KB; the least recently suspected one is evicted."""
+NEWEST_SENT = 3
+"""Each heartbeat carries this many of the newest suspicions, and as many randomly drawn others: at
+most 700 bytes, so that three heartbeats a second use less than half of the 5 KB/s available for all
+control traffic."""
 
 
 class Quarantine:
-    """Knows which requests end their searchers, and decides what becomes of them.
+    """Tracks requests that crash searchers, and decides whether a request may be sent.
 
-    Each attempt at a request is known by its fingerprint, whichever entry gets it. What an entry
-    finds out it tells the others; nobody leads, and accounts join in any order. Without it one
-    request took all 40 searchers of a service three times in nine seconds.
+    Requests are identified by fingerprint, so that all attempts at one request are recognized at
+    every entry. Entries exchange what they find without a leader; suspicions merge in any order.
+    Without the quarantine, a single request took down all 40 searchers of a service three times
+    within nine seconds.
 
-    :param now_ms: gives the time.
-    :param may_try: tells whether this entry is the one to try a request again.
-    :param on_news: told that there is something that the others should hear.
-    :param rng: draws what is told besides the newest.
+    :param now_ms: returns the current time.
+    :param may_try: tells whether this entry is the one assigned to trials of a request.
+    :param on_news: called when there is an update that other entries should receive at once.
+    :param rng: draws the older suspicions to send.
     """
 
     def __init__(
@@ -69,7 +71,7 @@
         self._on_news = on_news
         self._rng = rng
         self._known: dict[str, Suspicion] = {}
-        self._replies = RecentReplies(GOOD_MS)
+        self._replies = RecentReplies(RECENT_REPLY_MS)
         self._watches: dict[str, set[RequestWatch]] = defaultdict(set)
         self._trial_until_ms: dict[str, float] = {}
         self._caution_until_ms: dict[str, float] = {}
@@ -77,15 +79,16 @@
 
     @property
     def convicted(self) -> int:
-        """How many requests are refused now, or tried one at a time."""
+        """Number of requests that are currently refused or limited to trials."""
         return sum(known.convicts for known in self._known.values())
 
     def verdict(self, fingerprint: str, route: str, spreads: bool = True) -> Verdict:
-        """Decide what becomes of a request.
+        """Decide whether a request may be sent.
 
-        :param fingerprint: the request.
-        :param route: name of its route.
-        :param spreads: whether it goes to many searchers at once, so that caution spares some.
+        :param fingerprint: fingerprint of the request.
+        :param route: name of the route.
+        :param spreads: whether the request is sent to many searchers at once, so that sending it to
+            one first protects the others.
         :returns: the decision.
         """
         if not self._known:
@@ -106,43 +109,43 @@
     def watch(
         self, fingerprint: str, route: str, one_first: bool, on_stopped: Callable[[], None]
     ) -> RequestWatch:
-        """Watch a request that is begun.
+        """Start monitoring a request.
 
-        :param fingerprint: the request.
-        :param route: name of its route.
-        :param one_first: whether it goes to one searcher first.
-        :param on_stopped: told that no more of it may be sent.
-        :returns: what its calls claim their attempts of.
+        :param fingerprint: fingerprint of the request.
+        :param route: name of the route.
+        :param one_first: whether the request is sent to one searcher first.
+        :param on_stopped: called when the request must not be sent any more.
+        :returns: attempt control for the calls of the request.
         """
 
         def closed(watch: RequestWatch, marks: tuple[int, ...]) -> None:
-            self._forget(fingerprint, watch)
+            self._remove_watch(fingerprint, watch)
             if marks and one_first and fingerprint not in self._known:
-                self._caution_until_ms[route] = self._now_ms() + CAUTION_MS
+                self._caution_until_ms[route] = self._now_ms() + CAUTION_WINDOW_MS
             if marks:
-                self._accuse(fingerprint, route, marks)
+                self._record_ends(fingerprint, route, marks)
 
         watch = RequestWatch(one_first, on_stopped, lambda: self._replied(fingerprint), closed)
         self._watches[fingerprint].add(watch)
         return watch
 
     def on_routes(self, names: Collection[str]) -> None:
-        """Forget what is known of routes that are no longer served.
+        """Discard the state of routes that are no longer served.
 
-        :param names: those that are.
+        :param names: names of the routes that are served.
         """
         for name in self._caution_until_ms.keys() - names:
             del self._caution_until_ms[name]
 
-    def take(self, accounts: Sequence[Suspicion]) -> bool:
-        """Take what another entry tells.
+    def take(self, updates: Sequence[Suspicion]) -> bool:
+        """Merge the suspicions sent by another entry.
 
-        :param accounts: its accounts.
-        :returns: whether anything of it was new that others should hear at once.
+        :param updates: the suspicions.
+        :returns: True if they contained news that further entries should receive at once.
         """
-        before = {account.fingerprint: self._known.get(account.fingerprint) for account in accounts}
-        for account in accounts:
-            self._join(account, "peer")
+        before = {update.fingerprint: self._known.get(update.fingerprint) for update in updates}
+        for update in updates:
+            self._merge(update, "peer")
         return any(
             _differs(known, self._known.get(fingerprint))
             and _is_urgent(self._known.get(fingerprint))
@@ -150,71 +153,72 @@
         )
 
     def told(self) -> tuple[Suspicion, ...]:
-        """Give what to tell others: the newest, and some of the rest.
+        """Return the suspicions to send to other entries: the newest, and a random sample of the
+        rest.
 
-        :returns: the accounts.
+        :returns: the suspicions.
         """
         if not self._known:
             return ()
         self._expire()
         known = sorted(self._known.values(), key=lambda one: -one.since_ms)
-        rest = known[NEWEST_TOLD:]
-        return (*known[:NEWEST_TOLD], *self._rng.sample(rest, min(NEWEST_TOLD, len(rest))))
+        rest = known[NEWEST_SENT:]
+        return (*known[:NEWEST_SENT], *self._rng.sample(rest, min(NEWEST_SENT, len(rest))))
 
     def _replied(self, fingerprint: str) -> None:
         now_ms = self._now_ms()
         self._replies.add(fingerprint, now_ms)
         known = self._known.get(fingerprint)
         if known is not None and not known.cleared:
-            self._join(
+            self._merge(
                 Suspicion(fingerprint, known.route, known.round, True, frozenset(), now_ms), "reply"
             )
             self._on_news()
 
-    def _accuse(self, fingerprint: str, route: str, marks: tuple[int, ...]) -> None:
+    def _record_ends(self, fingerprint: str, route: str, marks: tuple[int, ...]) -> None:
         now_ms = self._now_ms()
         if not fingerprint or self._replies.has(fingerprint, now_ms):
             return
         known = self._current(fingerprint, now_ms)
-        round_, found = 1, bounded(marks)
+        round_, found = 1, limit_marks(marks)
         if known is not None:
-            failed_trial = known.convicts and now_ms - known.since_ms >= _rest_ms(known.round)
+            failed_trial = known.convicts and now_ms - known.since_ms >= _quarantine_ms(known.round)
             round_ = known.round + (known.cleared or failed_trial)
             if failed_trial:
-                found = bounded(found | known.marks)
-        self._join(Suspicion(fingerprint, route, round_, False, found, now_ms), "here")
+                found = limit_marks(found | known.marks)
+        self._merge(Suspicion(fingerprint, route, round_, False, found, now_ms), "here")
         if _is_urgent(self._known[fingerprint]):
             self._on_news()
 
-    def _join(self, account: Suspicion, source: str) -> None:
-        known = self._known.get(account.fingerprint)
-        joined = account if known is None else known.joined(account)
+    def _merge(self, update: Suspicion, source: str) -> None:
+        known = self._known.get(update.fingerprint)
+        joined = update if known is None else known.joined(update)
         if joined == known:
             return
-        self._make_room(account.fingerprint)
-        self._known[account.fingerprint] = joined
+        self._evict_oldest(update.fingerprint)
+        self._known[update.fingerprint] = joined
         if _differs(known, joined):
             _log(joined, source)
         if joined.convicts:
-            for watch in list(self._watches.get(account.fingerprint, ())):
+            for watch in list(self._watches.get(update.fingerprint, ())):
                 if not watch.is_trial:
                     watch.stop()
 
     def _wait_ms(self, known: Suspicion, now_ms: float) -> float:
-        """Tell how long a request has to wait before it may go to one searcher; 0 for now."""
+        """Return the time until a request may be sent to one searcher; 0 if it may be sent now."""
         trial_until_ms = self._trial_until_ms.get(known.fingerprint, 0.0)
         if now_ms < trial_until_ms:
             return TRIAL_PAUSE_MS
         if not known.convicts:
             return 0.0
-        rest_ms = _rest_ms(known.round)
+        quarantine_ms = _quarantine_ms(known.round)
         age_ms = now_ms - known.since_ms
-        if age_ms < rest_ms:
-            return rest_ms - age_ms
-        anybody_ms = ANYBODY_AFTER_RESTS * rest_ms
-        if age_ms >= anybody_ms or self._may_try(known.fingerprint):
+        if age_ms < quarantine_ms:
+            return quarantine_ms - age_ms
+        any_entry_ms = ANY_ENTRY_TRIAL_PERIODS * quarantine_ms
+        if age_ms >= any_entry_ms or self._may_try(known.fingerprint):
             return 0.0
-        return min(anybody_ms - age_ms, FIRST_REST_MS)
+        return min(any_entry_ms - age_ms, INITIAL_QUARANTINE_MS)
 
     def _is_cautious(self, route: str, now_ms: float) -> bool:
         if now_ms < self._caution_until_ms.get(route, 0.0):
@@ -222,13 +226,13 @@
         recent = Counter(
             known.route
             for known in self._known.values()
-            if known.convicts and now_ms - known.since_ms < CAUTION_MS
+            if known.convicts and now_ms - known.since_ms < CAUTION_WINDOW_MS
         )
         return recent[route] >= CAUTION_REQUESTS
 
     def _current(self, fingerprint: str, now_ms: float) -> Suspicion | None:
         known = self._known.get(fingerprint)
-        if known is not None and now_ms - known.since_ms > _kept_ms(known):
+        if known is not None and now_ms - known.since_ms > _ttl_ms(known):
             self._drop(fingerprint)
             return None
         return known
@@ -238,8 +242,8 @@
         for fingerprint in list(self._known):
             self._current(fingerprint, now_ms)
 
-    def _make_room(self, fingerprint: str) -> None:
-        if fingerprint in self._known or len(self._known) < MOST_KNOWN:
+    def _evict_oldest(self, fingerprint: str) -> None:
+        if fingerprint in self._known or len(self._known) < MAX_SUSPICIONS:
             return
         oldest = min(self._known.values(), key=lambda one: (one.convicts, one.since_ms))
         self._drop(oldest.fingerprint)
@@ -248,7 +252,7 @@
         del self._known[fingerprint]
         self._trial_until_ms.pop(fingerprint, None)
 
-    def _forget(self, fingerprint: str, watch: RequestWatch) -> None:
+    def _remove_watch(self, fingerprint: str, watch: RequestWatch) -> None:
         watches = self._watches[fingerprint]
         watches.discard(watch)
         if not watches:
@@ -257,23 +261,25 @@
             self._trial_until_ms.pop(fingerprint, None)
 
 
-def _rest_ms(round_: int) -> float:
-    return min(MOST_REST_MS, FIRST_REST_MS * REST_FACTOR ** min(round_ - 1, 10))
+def _quarantine_ms(round_: int) -> float:
+    return min(
+        MAX_QUARANTINE_MS, INITIAL_QUARANTINE_MS * QUARANTINE_GROWTH_FACTOR ** min(round_ - 1, 10)
+    )
 
 
-def _kept_ms(known: Suspicion) -> float:
-    # What clears a request is kept for as long as a conviction: an entry that was cut off meanwhile
-    # would bring that back.
-    if not known.cleared and len(known.marks) < CONVICTING_ENDS:
-        return SUSPECT_KEPT_MS
-    return FORGOTTEN_AFTER_RESTS * _rest_ms(known.round)
+def _ttl_ms(known: Suspicion) -> float:
+    # A clearance is kept as long as a quarantine; otherwise an entry that was disconnected in the
+    # meantime could reintroduce the quarantine.
+    if not known.cleared and len(known.marks) < ENDS_TO_QUARANTINE:
+        return SUSPICION_TTL_MS
+    return EXPIRY_PERIODS * _quarantine_ms(known.round)
 
 
 def _is_urgent(known: Suspicion | None) -> bool:
-    """Tell whether others should hear it at once.
+    """Check whether other entries should be notified at once.
 
-    One end alone may be chance, and is left to heartbeats: a crash of many searchers would set off
-    a burst of news otherwise.
+    A single crash may be coincidental and is only sent with heartbeats; otherwise a simultaneous
+    crash of many searchers would cause a burst of messages.
     """
     return known is not None and (known.cleared or len(known.marks) > 1)
 
@@ -301,7 +307,7 @@
 
 
 def _differs(before: Suspicion | None, after: Suspicion | None) -> bool:
-    """Tell whether an account says more than before, times aside."""
+    """Check whether two suspicions differ, ignoring their times."""
     if before is None or after is None:
         return before is not after
     return (before.round, before.cleared, before.marks) != (
--- a/rhubarbhinge/quarantine/_recent_replies.py
+++ b/rhubarbhinge/quarantine/_recent_replies.py
@@ -1,45 +1,45 @@
-"""Requests to which searchers have replied lately."""
+"""Tracks requests to which searchers have replied recently."""
 
-MOST_KEPT = 1_024
-"""Fingerprints kept of each span, some 120 KB; at 1.4 million searches a second over 7,900 entries
-one reads 180 a second."""
+MAX_FINGERPRINTS = 1_024
+"""Maximum number of fingerprints per period, about 120 KB. At 1.4 million searches per second over
+7,900 entries, one entry receives 180 per second."""
 
 
 class RecentReplies:
-    """Remembers for a while which requests searchers have replied to.
+    """Set of requests to which searchers have replied recently.
 
-    :param kept_ms: for how long at least; at most twice as long.
+    :param kept_ms: minimum time for which a request is kept; the maximum is twice as long.
     """
 
     def __init__(self, kept_ms: float):
-        self._kept_ms = kept_ms
-        self._now: set[str] = set()
-        self._before: set[str] = set()
-        self._turned_ms = float("-inf")
+        self._ttl_ms = kept_ms
+        self._current: set[str] = set()
+        self._previous: set[str] = set()
+        self._rotated_ms = float("-inf")
 
     def add(self, fingerprint: str, now_ms: float) -> None:
-        """Note a reply.
+        """Record a reply.
 
-        :param fingerprint: the request.
-        :param now_ms: the time.
+        :param fingerprint: fingerprint of the request.
+        :param now_ms: current time.
         """
-        self._turn(now_ms)
-        if len(self._now) < MOST_KEPT:
-            self._now.add(fingerprint)
+        self._rotate(now_ms)
+        if len(self._current) < MAX_FINGERPRINTS:
+            self._current.add(fingerprint)
 
     def has(self, fingerprint: str, now_ms: float) -> bool:
-        """Tell whether a searcher has replied to a request lately.
+        """Check whether a searcher has replied to a request recently.
 
-        :param fingerprint: the request.
-        :param now_ms: the time.
-        :returns: whether one has.
+        :param fingerprint: fingerprint of the request.
+        :param now_ms: current time.
+        :returns: True if one has.
         """
-        self._turn(now_ms)
-        return fingerprint in self._now or fingerprint in self._before
-
-    def _turn(self, now_ms: float) -> None:
-        age_ms = now_ms - self._turned_ms
-        if age_ms >= self._kept_ms:
-            self._before = self._now if age_ms < 2 * self._kept_ms else set()
-            self._now = set()
-            self._turned_ms = now_ms
+        self._rotate(now_ms)
+        return fingerprint in self._current or fingerprint in self._previous
+
+    def _rotate(self, now_ms: float) -> None:
+        age_ms = now_ms - self._rotated_ms
+        if age_ms >= self._ttl_ms:
+            self._previous = self._current if age_ms < 2 * self._ttl_ms else set()
+            self._current = set()
+            self._rotated_ms = now_ms
--- a/rhubarbhinge/quarantine/_request_watch.py
+++ b/rhubarbhinge/quarantine/_request_watch.py
@@ -1,35 +1,37 @@
-"""One request under way, and the searchers that end under it."""
+"""Monitors one request in progress for searchers that crash while executing it."""
 
 from collections import deque
 from collections.abc import Callable
 
-from rhubarbhinge.quarantine._suspicion import CONVICTING_ENDS
+from rhubarbhinge.quarantine._suspicion import ENDS_TO_QUARANTINE
 
-SUSPECT_ENDS = 2
-"""Searchers that end under a request, with no reply from any, before its further attempts go one
-at a time. One may crash by chance; of two at once one further send tells which it is."""
+ENDS_TO_SUSPECT = 2
+"""Number of searchers that crash during a request, without a reply from any, before further
+attempts are sent one at a time. A single crash may be coincidental; after two at once, one more
+attempt shows which it is."""
 
-MOST_FURTHER_UNANSWERED = 2
-"""Shards that go to a further searcher before any searcher has replied to the request. In the time
-until a hedge nearly all shards of a search have replied, unless one cause holds them all up."""
+MAX_EXTRA_UNANSWERED = 2
+"""Maximum number of shards that may be sent to another searcher before any searcher has replied to
+the request. By the time hedges are due nearly all shards have replied, unless they are all delayed
+by the same cause."""
 
 
 class RequestWatch:
-    """Tells a request that ends its searchers from one that loses them to another cause.
-
-    What ends each searcher that begins it gets no reply from any. So a reply clears the request:
-    that of any other shard, mostly before the first loss. Without one, few shards go to a further
-    searcher at a time, as the loss of the first ones may not be known yet when hedges are due. With
-    two searchers gone, retries and hedges go one at a time, each after the one before has come out.
-    A request that is good is late by one reply, some 40 ms, and one that is not takes few more
-    searchers in place of a second one of each shard. When one of these ends as well, the request is
-    stopped.
-
-    :param one_first: whether the first attempt, too, goes to one searcher alone.
-    :param on_stopped: told that no more may be sent, once.
-    :param on_cleared: told that a searcher has replied, once.
-    :param on_closed: told at the end which searchers ended without a reply from any.
-    :ivar is_trial: whether it was begun at one searcher alone.
+    """Distinguishes requests that crash searchers from those that lose them to other causes.
+
+    A request that crashes every searcher never gets a reply, so a reply clears it: any shard's
+    reply does, and usually arrives before the first loss. Until then only a few shards at a time
+    are sent to another searcher, as the first crashes may not have been detected yet when hedges
+    are due. After two crashes, retries and hedges are sent one at a time, each after the outcome of
+    the previous one is known. This delays a harmless request by one reply, about 40 ms, and limits
+    a harmful one to a few more searchers instead of a second one for every shard. If one of those
+    crashes too, the request is stopped.
+
+    :param one_first: whether the first attempt is also sent to a single searcher.
+    :param on_stopped: called once when no further attempts may be sent.
+    :param on_cleared: called once when a searcher has replied.
+    :param on_closed: called at the end with the searchers that crashed, if none has replied.
+    :ivar is_trial: whether the request was first sent to a single searcher.
     """
 
     def __init__(
@@ -44,24 +46,25 @@
         self._on_cleared = on_cleared
         self._on_closed = on_closed
         self._marks: dict[int, str] = {}
-        self._further: set[str] = set()
-        self._held: deque[Callable[[], None]] = deque()
-        self._is_passing = False
+        self._extra: set[str] = set()
+        self._deferred: deque[Callable[[], None]] = deque()
+        self._is_granting = False
         self._cleared = False
         self._closed = False
 
     @property
     def one_first(self) -> bool:
-        """Whether one searcher has to reply before the request goes to the others."""
+        """Whether one searcher has to reply before the request is sent to the others."""
         return self.is_trial and not self._cleared
 
     def claim(self, service: str, number: int, on_granted: Callable[[], None]) -> bool:
-        """Claim an attempt; see :class:`rhubarbhinge.forward.AttemptControl`.
+        """Request permission to send an attempt; see :class:`rhubarbhinge.forward.AttemptControl`.
 
-        :param service: the service.
-        :param number: number of the attempt at the service, counted from 1.
-        :param on_granted: called once it may be sent, if it may not yet.
-        :returns: whether it may be sent now.
+        :param service: name of the service.
+        :param number: 1-based number of the attempt at this service.
+        :param on_granted: called when permission is granted later; only used when this returns
+            False.
+        :returns: True if the attempt may be sent immediately.
         """
         if self._cleared:
             return True
@@ -69,75 +72,77 @@
             return False
         if not self._is_suspect and number == 1:
             return True
-        if len(self._further - {service}) >= self._most_further:
-            self._held.append(on_granted)
+        if len(self._extra - {service}) >= self._max_extra:
+            self._deferred.append(on_granted)
             return False
-        self._further.add(service)
+        self._extra.add(service)
         return True
 
     def on_ended(self, service: str, mark: int) -> None:
-        """Note that a searcher's process ended while it had the request.
+        """Record that a searcher's process exited while it was handling the request.
 
-        :param service: the service.
-        :param mark: the searcher.
+        :param service: name of the service.
+        :param mark: identifies the searcher's start.
         """
         if self._cleared or self._closed:
             return
-        alone = self._is_suspect and service in self._further
+        alone = self._is_suspect and service in self._extra
         self._marks[mark] = service
-        if alone and (self.is_trial or len(self._marks) >= CONVICTING_ENDS):
-            self._close(convicted=True)
+        if alone and (self.is_trial or len(self._marks) >= ENDS_TO_QUARANTINE):
+            self._close(confirmed=True)
             self._on_stopped()
 
     def on_replied(self, service: str) -> None:
-        """Note that a searcher executed the request and replied: it ends none.
+        """Record that a searcher executed the request and replied, which clears the request.
 
-        :param service: the service.
+        :param service: name of the service.
         """
         if self._cleared or self._closed:
             return
         self._cleared = True
         self._on_cleared()
-        held, self._held = self._held, deque()
+        held, self._deferred = self._deferred, deque()
         for on_granted in held:
             on_granted()
 
     def on_over(self, service: str) -> None:
-        """Note that the call to a service has come to its end; the next may be sent on.
+        """Record that the call to a service has finished, and grant the next deferred attempts.
 
-        :param service: the service.
+        :param service: name of the service.
         """
-        self._further.discard(service)
-        if self._is_passing:
-            # The loop below goes on; hundreds of shards would nest too deeply otherwise.
+        self._extra.discard(service)
+        if self._is_granting:
+            # The loop of the outer call continues; recursion over hundreds of shards would be too
+            # deep.
             return
-        self._is_passing = True
-        while self._held and len(self._further) < self._most_further and not self._closed:
-            self._held.popleft()()
-        self._is_passing = False
+        self._is_granting = True
+        while self._deferred and len(self._extra) < self._max_extra and not self._closed:
+            self._deferred.popleft()()
+        self._is_granting = False
 
     def stop(self) -> None:
-        """Stop the request, as other entries have found out what it does."""
+        """Stop the request because other entries found that it crashes searchers."""
         if not self._closed and not self._cleared:
-            self._close(convicted=False)
+            self._close(confirmed=False)
             self._on_stopped()
 
     def close(self) -> None:
-        """Note that the request has come to its end."""
+        """Record that the request has finished."""
         if not self._closed:
-            self._close(convicted=False)
+            self._close(confirmed=False)
 
     @property
-    def _most_further(self) -> int:
-        return 1 if self._is_suspect else MOST_FURTHER_UNANSWERED
+    def _max_extra(self) -> int:
+        return 1 if self._is_suspect else MAX_EXTRA_UNANSWERED
 
     @property
     def _is_suspect(self) -> bool:
-        return self.is_trial or len(self._marks) >= SUSPECT_ENDS
+        return self.is_trial or len(self._marks) >= ENDS_TO_SUSPECT
 
-    def _close(self, convicted: bool) -> None:
+    def _close(self, confirmed: bool) -> None:
         self._closed = True
-        self._held.clear()
+        self._deferred.clear()
         marks = () if self._cleared else tuple(self._marks)
-        # Without a trial two are enough to be careful next time, and too little to refuse it.
-        self._on_closed(self, marks if convicted else marks[:SUSPECT_ENDS])
+        # Unless confirmed by a further attempt, report two crashes at most: enough to try the
+        # request at one searcher next time, but not enough to quarantine it.
+        self._on_closed(self, marks if confirmed else marks[:ENDS_TO_SUSPECT])
--- a/rhubarbhinge/quarantine/_suspicion.py
+++ b/rhubarbhinge/quarantine/_suspicion.py
@@ -1,38 +1,40 @@
-"""What entries know against one request, and how two accounts of it become one."""
+"""Evidence against a request, and how the evidence of several entries is merged."""
 
 from collections.abc import Iterable
 
 from msgspec import Struct
 from msgspec.structs import replace
 
-CONVICTING_ENDS = 3
-"""Searchers that end under a request before it is quarantined. A good request loses one to a crash
-now and then, and two to a crash in two failure domains; the third is the price of certainty."""
-MOST_MARKS = 8
-"""Searchers that an account names, beyond which more say nothing new; 11 bytes each on the wire."""
+ENDS_TO_QUARANTINE = 3
+"""Number of searcher crashes before a request is quarantined. A harmless request loses one searcher
+to a crash now and then, and two to a crash in two failure domains; the third is the price of
+certainty."""
+MAX_MARKS = 8
+"""Maximum number of crashed searchers listed per suspicion; more add no information. Each takes 11
+bytes on the wire."""
 
 
-def bounded(marks: Iterable[int]) -> frozenset[int]:
-    """Keep as many marks as an account names, whoever joins it the same ones.
+def limit_marks(marks: Iterable[int]) -> frozenset[int]:
+    """Limit the number of marks, deterministically, so that all entries keep the same ones.
 
     :param marks: the marks.
-    :returns: the least of them.
+    :returns: the smallest marks.
     """
-    return frozenset(sorted(marks)[:MOST_MARKS])
+    return frozenset(sorted(marks)[:MAX_MARKS])
 
 
 class Suspicion(Struct, frozen=True):
-    """What is known against one request.
+    """Evidence against one request.
 
-    Accounts of several entries are joined in any order, and as often as they come: the later round
-    counts, within a round a reply counts more than all ends, and ends add up.
+    Suspicions of several entries can be merged in any order and repeatedly: the later round wins,
+    within a round a reply outweighs any number of crashes, and crashes accumulate.
 
-    :param fingerprint: the request.
-    :param route: name of its route.
-    :param round: raised when a trial failed, and when a request that was cleared is accused again.
-    :param cleared: whether a searcher has replied to it, which tells that it ends none.
-    :param marks: searchers that ended while they had it, each by the mark of its start.
-    :param since_ms: when the last of them ended, on this process' steady clock.
+    :param fingerprint: fingerprint of the request.
+    :param route: name of the route.
+    :param round: incremented when a trial fails, and when a cleared request is suspected again.
+    :param cleared: whether a searcher has replied to the request, which shows that it is harmless.
+    :param marks: marks of the searchers that crashed during the request.
+    :param since_ms: time of the last crash, on this process's monotonic clock.
     """
 
     fingerprint: str
@@ -44,23 +46,24 @@
 
     @property
     def convicts(self) -> bool:
-        """Whether enough searchers have ended under it."""
-        return not self.cleared and len(self.marks) >= CONVICTING_ENDS
+        """Whether enough searchers have crashed during the request."""
+        return not self.cleared and len(self.marks) >= ENDS_TO_QUARANTINE
 
     def joined(self, other: "Suspicion") -> "Suspicion":
-        """Join another account of the same request.
+        """Merge with another suspicion of the same request.
 
-        :param other: the account.
-        :returns: what both know.
+        :param other: the other suspicion.
+        :returns: the merged suspicion.
         """
         if (self.round, self.cleared) != (other.round, other.cleared):
             return max(self, other, key=lambda one: (one.round, one.cleared))
         if self.marks == other.marks:
-            # What was longer on its way seems to be younger.
+            # Network delay makes a received suspicion look younger than it is, so keep the earlier
+            # time.
             return min(self, other, key=lambda one: one.since_ms)
         if self.marks < other.marks:
             return other
         if self.marks > other.marks:
             return self
-        marks = bounded(self.marks | other.marks)
+        marks = limit_marks(self.marks | other.marks)
         return replace(self, marks=marks, since_ms=max(self.since_ms, other.since_ms))
--- a/rhubarbhinge/quarantine/_told_suspicion.py
+++ b/rhubarbhinge/quarantine/_told_suspicion.py
@@ -1,40 +1,40 @@
-"""What entries tell each other of requests that end searchers."""
+"""Wire format in which entries exchange suspicions."""
 
 from typing import Annotated
 
 import msgspec
 
-from rhubarbhinge.quarantine._suspicion import MOST_MARKS, Suspicion
+from rhubarbhinge.quarantine._suspicion import MAX_MARKS, Suspicion
 from rhubarbhinge.utils.bounded_types import Milliseconds, Name
 
-MOST_ROUND = 1_000
-"""Greatest round that is read; a request is tried once an hour at most."""
-MOST_MARK = (1 << 32) - 1
+MAX_ROUND = 1_000
+"""Maximum round that is accepted; a request is tried at most once an hour."""
+MAX_MARK = (1 << 32) - 1
 
 
 class ToldSuspicion(msgspec.Struct, frozen=True, array_like=True):
-    """A :class:`Suspicion` as it is sent: in this order, with its age in place of its time.
+    """Wire format of a :class:`Suspicion`: fields in this order, with its age instead of its time.
 
-    Later releases may append some.
+    Later releases may append fields.
     """
 
     fingerprint: Annotated[str, msgspec.Meta(pattern=r"\A[0-9a-f]{32}\Z")]
     route: Name
-    round: Annotated[int, msgspec.Meta(ge=1, le=MOST_ROUND)]
+    round: Annotated[int, msgspec.Meta(ge=1, le=MAX_ROUND)]
     cleared: bool
     marks: Annotated[
-        list[Annotated[int, msgspec.Meta(ge=0, le=MOST_MARK)]],
-        msgspec.Meta(max_length=MOST_MARKS),
+        list[Annotated[int, msgspec.Meta(ge=0, le=MAX_MARK)]],
+        msgspec.Meta(max_length=MAX_MARKS),
     ]
     age_ms: Milliseconds
 
     @classmethod
     def of(cls, known: Suspicion, now_ms: float) -> "ToldSuspicion":
-        """Give a suspicion the form in which it is sent.
+        """Convert a suspicion to its wire format.
 
         :param known: the suspicion.
-        :param now_ms: the time.
-        :returns: that form.
+        :param now_ms: current time.
+        :returns: the wire format.
         """
         return cls(
             known.fingerprint,
@@ -46,9 +46,9 @@
         )
 
     def suspicion(self, now_ms: float) -> Suspicion:
-        """Give the suspicion.
+        """Convert back to a suspicion.
 
-        :param now_ms: the time.
+        :param now_ms: current time.
         :returns: the suspicion.
         """
         return Suspicion(
--- a/rhubarbhinge/quarantine/_verdict.py
+++ b/rhubarbhinge/quarantine/_verdict.py
@@ -1,20 +1,20 @@
-"""What becomes of a request that is read."""
+"""Decisions about incoming requests."""
 
 from typing import Literal
 
 from msgspec import Struct
 
 ALLOWED: Literal["allowed"] = "allowed"
-"""It goes to all searchers that it needs."""
+"""The request is sent to all searchers that it needs."""
 ONE_FIRST: Literal["one-first"] = "one-first"
-"""It goes to one searcher, and to the others once that one has replied."""
+"""The request is sent to one searcher, and to the others once that one has replied."""
 
 
 class Quarantined(Struct, frozen=True):
-    """It is refused.
+    """The request is refused.
 
-    :param ended: how many searchers are known to have ended under it, up to a bound.
-    :param retry_after_ms: when it may be tried again.
+    :param ended: number of searchers known to have crashed during the request, up to a bound.
+    :param retry_after_ms: time until the request may be tried again.
     """
 
     ended: int
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -1,7 +1,7 @@
-"""What becomes of requests that end searchers, and how entries come to agree on it.
+"""Quarantine of requests that crash searchers, and its agreement among entries.
 
-The load: one request that comes again and again at any entry of a fleet; ever new ones from one
-caller; good ones that lose their searchers by chance.
+Scenarios: one request that is repeated at any entry of a fleet; a stream of new harmful requests
+from one caller; harmless requests that lose their searchers by coincidence.
 """
 
 import random
@@ -20,50 +20,50 @@
     ToldSuspicion,
 )
 from rhubarbhinge.quarantine._quarantine import (
-    ANYBODY_AFTER_RESTS,
-    CAUTION_MS,
+    ANY_ENTRY_TRIAL_PERIODS,
     CAUTION_REQUESTS,
-    FIRST_REST_MS,
-    FORGOTTEN_AFTER_RESTS,
-    GOOD_MS,
-    MOST_KNOWN,
-    NEWEST_TOLD,
-    REST_FACTOR,
-    SUSPECT_KEPT_MS,
+    CAUTION_WINDOW_MS,
+    EXPIRY_PERIODS,
+    INITIAL_QUARANTINE_MS,
+    MAX_SUSPICIONS,
+    NEWEST_SENT,
+    QUARANTINE_GROWTH_FACTOR,
+    RECENT_REPLY_MS,
+    SUSPICION_TTL_MS,
 )
 from rhubarbhinge.utils.strict_json import json_reader
 
 FATAL, GOOD = "f" * 32, "c" * 32
 ROUTE = "search"
-ALLOWED_RETRIES = 3
-"""Attempts at one request that may still reach searchers once three of them have ended."""
+MAX_TRIALS = 3
+"""Maximum number of attempts at one request that may reach searchers after three have crashed."""
 
 
 class Fleet:
-    """Entries that tell each other what they know, when a test says so."""
+    """Entries that exchange their suspicions when a test calls :meth:`tell`."""
 
     def __init__(self, names: tuple[str, ...] = ("vm-1", "vm-2", "vm-3")):
         self.now_ms = 1_000_000.0
-        self.tries = names[0]
-        self.news = 0
+        self.trial_entry = names[0]
+        self.urgent_updates = 0
         self.entries = {name: self.entry(name) for name in names}
 
     def entry(self, name: str) -> Quarantine:
         return Quarantine(
             lambda: self.now_ms,
-            lambda fingerprint: name == self.tries,
+            lambda fingerprint: name == self.trial_entry,
             self.on_news,
             random.Random(name),
         )
 
     def on_news(self) -> None:
-        self.news += 1
+        self.urgent_updates += 1
 
-    def tell(self, late_ms: float = 2.0) -> None:
-        """Have each tell all others."""
+    def tell(self, transit_ms: float = 2.0) -> None:
+        """Send the suspicions of each entry to all others."""
         for name, sender in self.entries.items():
             told = [ToldSuspicion.of(known, self.now_ms) for known in sender.told()]
-            self.now_ms += late_ms
+            self.now_ms += transit_ms
             for other, receiver in self.entries.items():
                 if other != name:
                     receiver.take([one.suspicion(self.now_ms) for one in told])
@@ -74,11 +74,13 @@
         self.fleet = Fleet()
         self.first, self.second, self.third = self.fleet.entries.values()
 
-    def run_at(self, entry: Quarantine, fingerprint: str, *marks: int, trial: bool = False) -> bool:
-        """Play a request; tell whether it was stopped.
+    def simulate_request(
+        self, entry: Quarantine, fingerprint: str, *marks: int, trial: bool = False
+    ) -> bool:
+        """Simulate a request; return whether it was stopped.
 
-        :param marks: searchers that end under it; those of a search get it at the same time.
-        :param trial: whether it was refused until now, so that the first that ends stops it.
+        :param marks: searchers that crash during it; those of a search receive it at the same time.
+        :param trial: whether it was quarantined so far, so that the first crash stops it.
         """
         stopped = []
         watch = entry.watch(fingerprint, ROUTE, trial, lambda: stopped.append(True))
@@ -92,7 +94,7 @@
         return bool(stopped)
 
     def convict(self, entry: Quarantine, fingerprint: str = FATAL) -> None:
-        self.assertTrue(self.run_at(entry, fingerprint, 1, 2, 3))
+        self.assertTrue(self.simulate_request(entry, fingerprint, 1, 2, 3))
 
     def verdicts(self, fingerprint: str = FATAL) -> list[object]:
         return [entry.verdict(fingerprint, ROUTE) for entry in self.fleet.entries.values()]
@@ -101,42 +103,42 @@
         self.assertIsInstance(verdict, Quarantined)
         self.assertGreater(verdict.retry_after_ms, 0.0)
 
-    def test_a_request_that_ended_its_searchers_is_refused_everywhere(self):
+    def test_a_request_that_crashed_its_searchers_is_refused_at_all_entries(self):
         self.assertEqual(self.verdicts(), [ALLOWED] * 3)
         self.convict(self.first)
-        self.assertEqual(self.fleet.news, 1)
+        self.assertEqual(self.fleet.urgent_updates, 1)
         self.fleet.tell()
         for verdict in self.verdicts():
             self.assert_refused(verdict)
-            self.assertLessEqual(verdict.retry_after_ms, FIRST_REST_MS)
+            self.assertLessEqual(verdict.retry_after_ms, INITIAL_QUARANTINE_MS)
         self.assertEqual(self.verdicts(GOOD), [ALLOWED] * 3)
 
-    def test_ends_that_several_entries_saw_add_up(self):
-        self.run_at(self.first, FATAL, 1)
-        self.run_at(self.second, FATAL, 2)
+    def test_crashes_seen_by_different_entries_accumulate(self):
+        self.simulate_request(self.first, FATAL, 1)
+        self.simulate_request(self.second, FATAL, 2)
         self.fleet.tell()
         self.assertEqual(self.third.verdict(FATAL, ROUTE), ONE_FIRST)
-        self.assertTrue(self.run_at(self.third, FATAL, 3, trial=True))
+        self.assertTrue(self.simulate_request(self.third, FATAL, 3, trial=True))
         self.fleet.tell()
         for verdict in self.verdicts():
             self.assert_refused(verdict)
 
-    def test_one_end_alone_sets_off_no_burst_of_news(self):
-        self.run_at(self.first, FATAL, 1)
-        self.assertEqual(self.fleet.news, 0)
+    def test_a_single_crash_is_not_announced(self):
+        self.simulate_request(self.first, FATAL, 1)
+        self.assertEqual(self.fleet.urgent_updates, 0)
         self.assertFalse(self.second.take(self.first.told()))
-        self.run_at(self.first, FATAL, 2)
-        self.assertEqual(self.fleet.news, 1)
+        self.simulate_request(self.first, FATAL, 2)
+        self.assertEqual(self.fleet.urgent_updates, 1)
         self.assertTrue(self.second.take(self.first.told()))
         self.assertFalse(self.second.take(self.first.told()))
 
-    def test_the_same_end_seen_by_two_entries_counts_once(self):
+    def test_a_crash_seen_by_two_entries_counts_once(self):
         for entry in (self.first, self.second):
-            self.run_at(entry, FATAL, 1, 2)
+            self.simulate_request(entry, FATAL, 1, 2)
         self.fleet.tell()
         self.assertEqual(self.first.verdict(FATAL, ROUTE), ONE_FIRST)
 
-    def test_a_conviction_stops_what_is_under_way_at_other_entries(self):
+    def test_a_quarantine_stops_requests_in_progress_at_other_entries(self):
         stopped = []
         self.second.watch(FATAL, ROUTE, False, lambda: stopped.append("fatal"))
         self.second.watch(GOOD, ROUTE, False, lambda: stopped.append("good"))
@@ -154,14 +156,14 @@
                 if entry.verdict(FATAL, ROUTE) == ONE_FIRST:
                     trials += 1
                     self.assert_refused(entry.verdict(FATAL, ROUTE))
-                    self.run_at(entry, FATAL, trials + 10, trial=True)
+                    self.simulate_request(entry, FATAL, trials + 10, trial=True)
             self.fleet.tell(0.0)
-        self.assertTrue(1 <= trials <= ALLOWED_RETRIES, trials)
+        self.assertTrue(1 <= trials <= MAX_TRIALS, trials)
 
-    def test_a_trial_that_is_replied_to_clears_it_everywhere(self):
+    def test_a_successful_trial_clears_the_request_at_all_entries(self):
         self.convict(self.first)
         self.fleet.tell()
-        self.fleet.now_ms += FIRST_REST_MS
+        self.fleet.now_ms += INITIAL_QUARANTINE_MS
         self.assertEqual(self.first.verdict(FATAL, ROUTE), ONE_FIRST)
         for entry in (self.second, self.third):
             self.assert_refused(entry.verdict(FATAL, ROUTE))
@@ -171,11 +173,11 @@
         self.fleet.tell()
         self.assertEqual(self.verdicts(), [ALLOWED] * 3)
 
-    def test_an_entry_that_was_cut_off_meanwhile_brings_no_conviction_back(self):
+    def test_a_disconnected_entry_does_not_reintroduce_a_quarantine(self):
         self.convict(self.first)
         self.fleet.tell()
         cut_off = self.fleet.entries.pop("vm-3")
-        self.fleet.now_ms += FIRST_REST_MS
+        self.fleet.now_ms += INITIAL_QUARANTINE_MS
         self.first.verdict(FATAL, ROUTE)
         watch = self.first.watch(FATAL, ROUTE, True, lambda: None)
         watch.on_replied("s0")
@@ -186,50 +188,50 @@
             self.assertEqual(self.first.verdict(FATAL, ROUTE), ALLOWED)
             self.fleet.tell(0.0)
 
-    def test_requests_that_are_not_told_apart_accuse_none(self):
-        self.assertTrue(self.run_at(self.first, "", 1, 2, 3))
+    def test_requests_without_fingerprint_are_not_suspected(self):
+        self.assertTrue(self.simulate_request(self.first, "", 1, 2, 3))
         self.assertEqual(self.first.verdict("", ROUTE), ALLOWED)
 
-    def test_a_request_that_was_cleared_can_be_convicted_again(self):
-        self.test_a_trial_that_is_replied_to_clears_it_everywhere()
-        self.fleet.now_ms += 2 * GOOD_MS
+    def test_a_cleared_request_can_be_quarantined_again(self):
+        self.test_a_successful_trial_clears_the_request_at_all_entries()
+        self.fleet.now_ms += 2 * RECENT_REPLY_MS
         self.convict(self.second)
         self.fleet.tell()
         for verdict in self.verdicts():
             self.assert_refused(verdict)
 
-    def test_any_entry_may_try_it_when_the_one_that_is_to_gets_no_request(self):
+    def test_any_entry_may_start_a_trial_after_a_longer_time(self):
         self.convict(self.first)
         self.fleet.tell()
-        self.fleet.now_ms += ANYBODY_AFTER_RESTS * FIRST_REST_MS + 10.0
+        self.fleet.now_ms += ANY_ENTRY_TRIAL_PERIODS * INITIAL_QUARANTINE_MS + 10.0
         self.assertEqual(self.third.verdict(FATAL, ROUTE), ONE_FIRST)
 
-    def test_each_failed_trial_makes_the_rest_longer(self):
+    def test_each_failed_trial_extends_the_quarantine(self):
         self.convict(self.first)
-        rest_ms = FIRST_REST_MS
+        quarantine_ms = INITIAL_QUARANTINE_MS
         for mark in range(3):
-            self.assertAlmostEqual(self.first.verdict(FATAL, ROUTE).retry_after_ms, rest_ms)
-            self.fleet.now_ms += rest_ms
+            self.assertAlmostEqual(self.first.verdict(FATAL, ROUTE).retry_after_ms, quarantine_ms)
+            self.fleet.now_ms += quarantine_ms
             self.assertEqual(self.first.verdict(FATAL, ROUTE), ONE_FIRST)
-            self.run_at(self.first, FATAL, 50 + mark, trial=True)
-            rest_ms *= REST_FACTOR
+            self.simulate_request(self.first, FATAL, 50 + mark, trial=True)
+            quarantine_ms *= QUARANTINE_GROWTH_FACTOR
 
-    def test_what_nobody_asks_for_any_more_is_forgotten(self):
+    def test_suspicions_expire(self):
         self.convict(self.first)
-        self.run_at(self.first, GOOD, 8)
-        self.fleet.now_ms += SUSPECT_KEPT_MS + 1.0
+        self.simulate_request(self.first, GOOD, 8)
+        self.fleet.now_ms += SUSPICION_TTL_MS + 1.0
         self.assertEqual(len(self.first.told()), 1)
-        self.fleet.now_ms += FORGOTTEN_AFTER_RESTS * FIRST_REST_MS
+        self.fleet.now_ms += EXPIRY_PERIODS * INITIAL_QUARANTINE_MS
         self.assertEqual(self.first.told(), ())
 
-    def test_a_request_that_others_are_replied_to_is_not_accused(self):
+    def test_a_request_with_recent_replies_is_not_suspected(self):
         watch = self.first.watch(GOOD, ROUTE, False, lambda: None)
         watch.on_replied("s0")
         watch.close()
-        self.run_at(self.first, GOOD, 1, 2, 3)
+        self.simulate_request(self.first, GOOD, 1, 2, 3)
         self.assertEqual(self.first.verdict(GOOD, ROUTE), ALLOWED)
 
-    def test_ever_new_requests_make_their_route_cautious_and_refuse_no_good_one(self):
+    def test_many_new_quarantined_requests_make_their_route_cautious(self):
         for number in range(CAUTION_REQUESTS):
             self.assertEqual(self.first.verdict(GOOD, ROUTE), ALLOWED)
             self.convict(self.first, f"{number:032x}")
@@ -237,50 +239,51 @@
         self.assertEqual(self.verdicts("a" * 32), [ONE_FIRST] * 3)
         self.assertEqual(self.second.verdict("a" * 32, "other"), ALLOWED)
         self.assertEqual(self.second.verdict("a" * 32, ROUTE, spreads=False), ALLOWED)
-        self.fleet.now_ms += CAUTION_MS
+        self.fleet.now_ms += CAUTION_WINDOW_MS
         self.assertEqual(self.verdicts("a" * 32), [ALLOWED] * 3)
 
-    def test_caution_lasts_as_long_as_new_requests_end_searchers(self):
+    def test_caution_lasts_while_new_requests_crash_searchers(self):
         for number in range(CAUTION_REQUESTS):
             self.convict(self.first, f"{number:032x}")
         for number in range(20):
-            self.fleet.now_ms += 0.9 * CAUTION_MS
+            self.fleet.now_ms += 0.9 * CAUTION_WINDOW_MS
             fingerprint = f"{100 + number:032x}"
             self.assertEqual(self.first.verdict(fingerprint, ROUTE), ONE_FIRST)
-            self.run_at(self.first, fingerprint, number, trial=True)
+            self.simulate_request(self.first, fingerprint, number, trial=True)
 
-    def test_what_is_kept_and_told_is_bounded(self):
-        for number in range(2 * MOST_KNOWN):
+    def test_stored_and_sent_suspicions_are_bounded(self):
+        for number in range(2 * MAX_SUSPICIONS):
             self.convict(self.first, f"{number:032x}")
             self.fleet.now_ms += 10.0
-        self.assertEqual(self.first.convicted, MOST_KNOWN)
+        self.assertEqual(self.first.convicted, MAX_SUSPICIONS)
         told = self.first.told()
-        self.assertEqual(len(told), 2 * NEWEST_TOLD)
+        self.assertEqual(len(told), 2 * NEWEST_SENT)
         sent = msgspec.json.encode([ToldSuspicion.of(one, self.fleet.now_ms) for one in told])
-        # Three heartbeats a second leave half of the 5 KB a second for all of control.
+        # Three heartbeats per second must leave half of the 5 KB/s for the rest of the control
+        # traffic.
         self.assertLess(3 * len(sent), 2_560)
 
-    def test_what_is_told_can_be_read_after_many_trials(self):
-        self.assertTrue(self.run_at(self.first, FATAL, *range(1, 12)))
+    def test_sent_suspicions_can_be_decoded_after_many_trials(self):
+        self.assertTrue(self.simulate_request(self.first, FATAL, *range(1, 12)))
         for number in range(5):
-            self.fleet.now_ms += 2.0 * FIRST_REST_MS * REST_FACTOR**number
+            self.fleet.now_ms += 2.0 * INITIAL_QUARANTINE_MS * QUARANTINE_GROWTH_FACTOR**number
             self.first.verdict(FATAL, ROUTE)
-            self.run_at(self.first, FATAL, 1_000 + number, trial=True)
+            self.simulate_request(self.first, FATAL, 1_000 + number, trial=True)
             told = [ToldSuspicion.of(one, self.fleet.now_ms) for one in self.first.told()]
             read = json_reader(list[ToldSuspicion])
             self.assertEqual(read(msgspec.json.encode(told)), told)
 
-    def test_accounts_do_not_grow_younger_on_their_way(self):
+    def test_suspicions_do_not_become_younger_in_transit(self):
         self.convict(self.first)
         for _ in range(500):
-            self.fleet.tell(late_ms=100.0)
+            self.fleet.tell(transit_ms=100.0)
         ages = [
             self.fleet.now_ms - entry.told()[0].since_ms for entry in self.fleet.entries.values()
         ]
         self.assertGreater(min(ages), 500 * 300.0 - 500.0)
 
 
-ACCOUNTS = st.builds(
+SUSPICIONS = st.builds(
     Suspicion,
     st.just(FATAL),
     st.just(ROUTE),
@@ -291,25 +294,25 @@
 )
 
 
-class JoinTest(unittest.TestCase):
+class MergeTest(unittest.TestCase):
     @settings(deadline=None, derandomize=True, database=None)
-    @given(st.lists(ACCOUNTS, min_size=1, max_size=5), st.randoms(use_true_random=False))
-    def test_accounts_join_to_the_same_in_any_order_and_however_often(self, accounts, rng):
+    @given(st.lists(SUSPICIONS, min_size=1, max_size=5), st.randoms(use_true_random=False))
+    def test_merging_does_not_depend_on_order_or_repetition(self, updates, rng):
         def joined(ordered: list[Suspicion]) -> tuple:
             result = ordered[0]
-            for account in ordered[1:]:
-                result = result.joined(account)
+            for update in ordered[1:]:
+                result = result.joined(update)
             return result.round, result.cleared, result.marks
 
-        again = accounts + rng.choices(accounts, k=3)
+        again = updates + rng.choices(updates, k=3)
         rng.shuffle(again)
-        if not any(account.cleared for account in accounts):
-            self.assertEqual(joined(again), joined(accounts))
-        self.assertEqual(joined(again)[:2], joined(accounts)[:2])
+        if not any(update.cleared for update in updates):
+            self.assertEqual(joined(again), joined(updates))
+        self.assertEqual(joined(again)[:2], joined(updates)[:2])
 
     @settings(deadline=None, derandomize=True, database=None)
     @given(st.binary(max_size=200))
-    def test_any_bytes_are_read_or_refused(self, data):
+    def test_arbitrary_bytes_are_decoded_or_rejected(self, data):
         read = json_reader(list[ToldSuspicion])
         try:
             read(data)
--- a/rhubarbhinge/quarantine/tests/test_request_watch.py
+++ b/rhubarbhinge/quarantine/tests/test_request_watch.py
@@ -1,8 +1,8 @@
-"""A request under way: when its further attempts wait for each other, and when it is stopped.
+"""Monitoring of a request: when its further attempts are deferred, and when it is stopped.
 
-The load: a search over six shards, each sent to one searcher, all of which end 8 ms after they have
-begun it. Beside it searches that lose a third of their searchers at once for another cause, which
-are to be served as if nothing watched them.
+Scenario: a search over six shards, each sent to one searcher, all of which crash 8 ms after they
+start executing it. For comparison, searches that lose a third of their searchers at once to another
+cause; these must not be affected by the monitoring.
 """
 
 import unittest
@@ -36,12 +36,12 @@
     def claim(self, service: str, number: int = 2) -> bool:
         return self.watch.claim(service, number, lambda: self.granted.append(service))
 
-    def first_sends(self) -> None:
+    def claim_first_attempts(self) -> None:
         for service in SHARDS:
             self.assertTrue(self.claim(service, 1))
 
-    def test_of_a_search_that_ends_all_its_searchers_one_further_attempt_is_sent(self):
-        self.first_sends()
+    def test_a_search_that_crashes_all_its_searchers_gets_one_further_attempt(self):
+        self.claim_first_attempts()
         sent = 0
         for mark, service in enumerate(SHARDS):
             self.watch.on_ended(service, mark)
@@ -53,30 +53,30 @@
         self.assertFalse(self.claim("s1"))
         self.assertEqual(self.granted, [])
 
-    def test_before_any_reply_few_shards_go_to_a_further_searcher(self):
-        """Guards against hedges of all shards that end both searchers of each."""
-        self.first_sends()
+    def test_before_any_reply_few_shards_are_sent_to_another_searcher(self):
+        """Guards against hedges of all shards that crash both searchers of each."""
+        self.claim_first_attempts()
         sent = [service for service in SHARDS if self.claim(service)]
         self.assertEqual((sent, self.granted), (["s0", "s1"], []))
         self.watch.on_over("s0")
-        self.assertEqual(self.granted, ["s2", "s3", "s4", "s5"], "none was claimed by its call")
+        self.assertEqual(self.granted, ["s2", "s3", "s4", "s5"], "no call claimed its grant")
         self.watch.on_replied("s1")
         self.assertTrue(self.claim("s5"))
 
-    def test_hedges_that_wait_go_at_the_first_reply(self):
-        self.first_sends()
+    def test_deferred_hedges_are_granted_at_the_first_reply(self):
+        self.claim_first_attempts()
         for service in SHARDS:
             self.claim(service)
         self.watch.on_replied("s4")
         self.assertEqual(self.granted, ["s2", "s3", "s4", "s5"])
 
-    def test_a_call_to_one_service_is_hedged_whether_or_not_it_has_replied(self):
+    def test_a_call_to_one_service_is_hedged_before_any_reply(self):
         self.assertTrue(self.claim("s0", 1))
         self.assertTrue(self.claim("s0", 2))
         self.assertTrue(self.claim("s0", 3))
 
-    def test_a_reply_lets_all_that_waited_go(self):
-        self.first_sends()
+    def test_a_reply_grants_all_deferred_attempts(self):
+        self.claim_first_attempts()
         for mark in range(3):
             self.watch.on_ended(SHARDS[mark], mark)
             self.claim(SHARDS[mark])
@@ -88,24 +88,22 @@
         self.watch.close()
         self.assertEqual((self.stopped, self.closed), (0, [()]))
 
-    def test_once_a_searcher_has_replied_nothing_waits(self):
-        self.first_sends()
+    def test_no_attempt_is_deferred_after_a_reply(self):
+        self.claim_first_attempts()
         self.watch.on_replied("s0")
         for mark, service in enumerate(SHARDS):
             self.watch.on_ended(service, mark)
             self.assertTrue(self.claim(service))
 
-    def test_an_attempt_that_comes_to_nothing_makes_way_for_the_next(self):
+    def test_the_next_attempt_is_granted_when_a_call_finishes_unsent(self):
         for mark in range(3):
             self.watch.on_ended(SHARDS[mark], mark)
             self.claim(SHARDS[mark])
-        self.assertTrue(self.claim("s0"), "its own further sends are the same attempt")
+        self.assertTrue(self.claim("s0"), "further sends to a service count as one attempt")
         self.watch.on_over("s0")
-        self.assertEqual(
-            self.granted, ["s1", "s2"], "neither was sent after all, as far as is told"
-        )
+        self.assertEqual(self.granted, ["s1", "s2"], "neither call claimed its grant")
 
-    def test_attempts_that_wait_go_one_at_a_time(self):
+    def test_deferred_attempts_are_granted_one_at_a_time(self):
         for mark in range(3):
             self.watch.on_ended(SHARDS[mark], mark)
         granted = []
@@ -116,22 +114,22 @@
         self.watch.on_over("s1")
         self.assertEqual(granted, [("s1", True), ("s2", True)])
 
-    def test_one_loss_holds_up_nothing(self):
-        self.first_sends()
+    def test_a_single_crash_defers_nothing(self):
+        self.claim_first_attempts()
         self.watch.on_ended("s0", 1)
         self.assertTrue(self.claim("s0"))
         self.assertTrue(self.claim("s1"))
         self.watch.close()
         self.assertEqual(self.closed, [(1,)])
 
-    def test_what_goes_to_one_searcher_first_is_stopped_when_that_one_ends(self):
+    def test_a_trial_is_stopped_when_its_searcher_crashes(self):
         self.begin(one_first=True)
         self.assertTrue(self.claim("s0", 1))
         self.assertFalse(self.claim("s1", 1))
         self.watch.on_ended("s0", 1)
         self.assertEqual((self.stopped, self.closed), (1, [(1,)]))
 
-    def test_what_goes_to_one_searcher_first_goes_to_all_once_it_replied(self):
+    def test_a_trial_is_sent_to_all_searchers_after_a_reply(self):
         self.begin(one_first=True)
         self.assertTrue(self.claim("s0", 1))
         self.assertFalse(self.claim("s1", 1))
@@ -139,14 +137,14 @@
         self.assertEqual(self.granted, ["s1"])
         self.assertTrue(self.claim("s2", 1))
 
-    def test_a_search_that_ends_without_a_trial_tells_no_more_than_a_suspicion(self):
-        self.first_sends()
+    def test_an_unconfirmed_search_reports_two_crashes_at_most(self):
+        self.claim_first_attempts()
         for mark, service in enumerate(SHARDS):
             self.watch.on_ended(service, mark)
         self.watch.close()
         self.assertEqual(len(self.closed[0]), 2)
 
-    def test_a_call_to_one_service_is_stopped_by_its_third_searcher(self):
+    def test_a_call_to_one_service_is_stopped_by_its_third_crash(self):
         self.assertTrue(self.claim("s0", 1))
         for mark in (1, 2):
             self.watch.on_ended("s0", mark)
@@ -155,8 +153,8 @@
         self.watch.on_ended("s0", 3)
         self.assertEqual((self.stopped, self.closed), (1, [(1, 2, 3)]))
 
-    def test_it_can_be_stopped_from_outside_unless_a_searcher_has_replied(self):
-        self.first_sends()
+    def test_stop_has_an_effect_only_before_a_reply(self):
+        self.claim_first_attempts()
         self.watch.stop()
         self.watch.stop()
         self.assertEqual(self.stopped, 1)
@@ -165,19 +163,19 @@
         self.watch.stop()
         self.assertEqual(self.stopped, 0)
 
-    def test_hundreds_of_shards_that_wait_and_come_to_nothing_are_passed_over(self):
+    def test_hundreds_of_deferred_calls_can_finish_unsent(self):
         for mark in range(2):
             self.watch.on_ended(f"s{mark}", mark)
         self.assertTrue(self.claim("first"))
         passed = []
 
-        def come_to_nothing(service: str) -> None:
+        def finish_unsent(service: str) -> None:
             if self.claim(service):
                 passed.append(service)
                 self.watch.on_over(service)
 
         for number in range(600):
             service = f"w{number}"
-            self.watch.claim(service, 2, lambda service=service: come_to_nothing(service))
+            self.watch.claim(service, 2, lambda service=service: finish_unsent(service))
         self.watch.on_over("first")
         self.assertEqual(len(passed), 600)
