--- a/rhubarbhinge/delegation/_serving.py
+++ b/rhubarbhinge/delegation/_serving.py
@@ -17,7 +17,7 @@
     Taken,
 )
 from rhubarbhinge.fleet import Delays
-from rhubarbhinge.forward import CallerRequest, CallTerms, SearcherReply, Story, Surroundings
+from rhubarbhinge.forward import CallerRequest, CallTerms, RequestTrace, SearcherReply, Surroundings
 from rhubarbhinge.gather import FarNews, ShardCalls, ShardEnd, merge_greatest
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
@@ -170,10 +170,10 @@
         self._told = False
         self._over = False
         request = CallerRequest(ask.request_id, ask.head, ask.body, ask.left_ms)
-        self._story = Story(ask.request_id, surroundings.timers.now_ms)
+        self._trace = RequestTrace(ask.request_id, surroundings.timers.now_ms)
         self.leave = AttemptLeave(surroundings.timers, want_leave)
         terms = replace(terms, control=self.leave)
-        self._calls = ShardCalls(surroundings, request, terms, delays, self._ended, self._story)
+        self._calls = ShardCalls(surroundings, request, terms, delays, self._ended, self._trace)
         self._due_ms = surroundings.timers.now_ms() + ask.answer_in_ms
         self._timer: Subscription | None = None
 
@@ -219,7 +219,7 @@
         missing = {*pending, *failed}
         if missing:
             if not self._told:
-                self._story.tell(frozenset(missing))
+                self._trace.write_log(frozenset(missing))
             self._told = True
             log_event(
                 "ask-answered",
--- a/rhubarbhinge/fleet/__init__.py
+++ b/rhubarbhinge/fleet/__init__.py
@@ -19,12 +19,12 @@
 __all__ = [
     "ColdRule",
     "ColdSends",
+    "CostFunction",
     "Delays",
     "DomainReach",
     "Fleet",
     "MaySend",
     "ObservedSearcher",
-    "CostFunction",
     "Searcher",
     "SearcherStart",
     "ToldLoad",
--- a/rhubarbhinge/forward/__init__.py
+++ b/rhubarbhinge/forward/__init__.py
@@ -9,11 +9,11 @@
 from rhubarbhinge.forward._outcome import Lost, NotRun, Outcome, Replied, Why
 from rhubarbhinge.forward._pool import ConnectionPool
 from rhubarbhinge.forward._reply_reader import RawReply, ReplyReader
+from rhubarbhinge.forward._request_trace import RequestTrace
 from rhubarbhinge.forward._result import Failed, Passed, Refused, Result
 from rhubarbhinge.forward._search_terms import SearchTerms
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 from rhubarbhinge.forward._service_call import ServiceCall
-from rhubarbhinge.forward._story import Story
 from rhubarbhinge.forward._surroundings import Surroundings
 
 __all__ = [
@@ -33,12 +33,12 @@
     "Refused",
     "Replied",
     "ReplyReader",
+    "RequestTrace",
     "Result",
     "SearchTerms",
     "SearcherReply",
     "SendAttempt",
     "ServiceCall",
-    "Story",
     "Surroundings",
     "UNLIMITED",
     "Unlimited",
--- a/rhubarbhinge/forward/_story.py
+++ b/rhubarbhinge/forward/_request_trace.py
@@ -12,7 +12,7 @@
 Step = tuple[float, str, str, str, dict]
 
 
-class Story:
+class RequestTrace:
     """Steps of one request; most requests succeed, and their steps are discarded.
 
     :param request_id: id of the request.
@@ -41,7 +41,7 @@
         else:
             self._dropped += 1
 
-    def tell(self, services: frozenset[str] | None = None) -> None:
+    def write_log(self, services: frozenset[str] | None = None) -> None:
         """Write the recorded steps to the log.
 
         :param services: write only steps of these services; None for all.
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -7,9 +7,9 @@
 from rhubarbhinge.forward._caller_request import CallerRequest
 from rhubarbhinge.forward._exchange import Attempt, Exchange
 from rhubarbhinge.forward._outcome import Lost, NotRun, Outcome, Replied, Why, outcome_fields
+from rhubarbhinge.forward._request_trace import RequestTrace
 from rhubarbhinge.forward._result import Failed, Passed, Refused, Result
 from rhubarbhinge.forward._searcher_reply import SearcherReply
-from rhubarbhinge.forward._story import Story
 from rhubarbhinge.forward._surroundings import Surroundings
 from rhubarbhinge.telemetry import SubQueryKind
 from rhubarbhinge.timing import Subscription
@@ -40,7 +40,7 @@
     :param terms: limits and options of the call.
     :param delays: recent latencies of such requests.
     :param on_result: called once with the result, after :meth:`start` has returned.
-    :param story: records the decisions made for the request.
+    :param trace: records the decisions made for the request.
     :param ran: number of searchers of the service that may have executed the request before this
         call. They count towards the attempt limit, and make every attempt of this call an extra
         send.
@@ -53,7 +53,7 @@
         "_terms",
         "_delays",
         "_on_result",
-        "_story",
+        "_trace",
         "_open_attempts",
         "_tried",
         "_ran",
@@ -74,7 +74,7 @@
         terms: CallTerms,
         delays: Delays,
         on_result: Callable[["ServiceCall", Result], None],
-        story: Story,
+        trace: RequestTrace,
         ran: int = 0,
     ):
         self._context = surroundings
@@ -83,7 +83,7 @@
         self._terms = terms
         self._delays = delays
         self._on_result = on_result
-        self._story = story
+        self._trace = trace
         self._open_attempts: dict[SearcherStart, Attempt] = {}
         self._tried: set[SearcherStart] = set()
         self._ran = ran
@@ -108,14 +108,14 @@
     def start(self) -> None:
         """Send the request to the searcher with the lowest expected latency."""
         if self._ran >= self._terms.max_attempts:
-            self._story.note("attempt-not-sent", self.service, why="no-attempts")
+            self._trace.note("attempt-not-sent", self.service, why="no-attempts")
             self._context.timers.after(0, self._finish_unsuccessfully)
             return
         if not self._claim_attempt(self._ran, self._retry):
             return
         chosen = self._choose()
         if chosen is None or not self._take_budget():
-            self._story.note("attempt-not-sent", self.service, **self._not_sent_fields(chosen))
+            self._trace.note("attempt-not-sent", self.service, **self._not_sent_fields(chosen))
             self._context.timers.after(0, self._finish_unsuccessfully)
             return
         self._send(chosen, "first")
@@ -164,7 +164,7 @@
         now_ms = self._context.timers.now_ms()
         kind = SUB_QUERY_KINDS[why]
         self._context.metrics.count_sub_queries(self._terms.route_name, kind)
-        self._story.note(
+        self._trace.note(
             "attempt-sent",
             self.service,
             start.incarnation,
@@ -195,13 +195,13 @@
             return
         chosen = self._choose()
         if chosen is None or chosen.is_avoided(self._context.timers.now_ms()):
-            self._story.note("hedge-not-sent", self.service, why="no-searcher")
+            self._trace.note("hedge-not-sent", self.service, why="no-searcher")
             return
         unsent = [start for start, attempt in self._open_attempts.items() if not attempt.sent]
         if not self._claim_attempt(self._ran - len(unsent), self._hedge):
             return
         if not self._take_budget():
-            self._story.note("hedge-not-sent", self.service, **self._not_sent_fields(chosen))
+            self._trace.note("hedge-not-sent", self.service, **self._not_sent_fields(chosen))
             return
         for start in unsent:
             # Replace the queued attempt instead of adding one; it has cost no searcher anything
@@ -230,7 +230,7 @@
     def _on_attempt_ended(self, start: SearcherStart, outcome: Outcome) -> None:
         if self.over:
             return
-        self._story.note(
+        self._trace.note(
             "attempt-ended", self.service, start.incarnation, **outcome_fields(outcome)
         )
         self._open_attempts.pop(start, None)
@@ -291,7 +291,7 @@
             self._tried.update(self._open_attempts)
             self._start_timer(RETRY_PAUSE_MS, self._retry_paused)
         elif chosen is None or not self._take_budget():
-            self._story.note("retry-not-sent", self.service, **self._not_sent_fields(chosen))
+            self._trace.note("retry-not-sent", self.service, **self._not_sent_fields(chosen))
             self._finish_unsuccessfully()
         else:
             self._send(chosen, "retry")
@@ -304,7 +304,7 @@
             return
         chosen = self._choose()
         if chosen is None or not self._take_budget():
-            self._story.note("retry-not-sent", self.service, **self._not_sent_fields(chosen))
+            self._trace.note("retry-not-sent", self.service, **self._not_sent_fields(chosen))
             self._finish_unsuccessfully()
         else:
             self._send(chosen, "retry-later")
--- a/rhubarbhinge/forward/tests/test_service_call.py
+++ b/rhubarbhinge/forward/tests/test_service_call.py
@@ -9,9 +9,9 @@
     NotRun,
     Passed,
     Refused,
+    RequestTrace,
     Result,
     ServiceCall,
-    Story,
     Unlimited,
     Why,
 )
@@ -52,7 +52,7 @@
             world.terms(**terms),
             world.delays,
             lambda call, result: self.results.append(result),
-            Story("r1", world.timers.now_ms),
+            RequestTrace("r1", world.timers.now_ms),
             ran,
         )
         call.start()
--- a/rhubarbhinge/gateway/_handling.py
+++ b/rhubarbhinge/gateway/_handling.py
@@ -11,9 +11,9 @@
     Failed,
     Passed,
     Refused,
+    RequestTrace,
     Result,
     ServiceCall,
-    Story,
 )
 from rhubarbhinge.gateway._answers import failed, refused, timed_out
 from rhubarbhinge.gateway._call_terms import call_terms
@@ -79,7 +79,7 @@
         self._transit_ms = transit_ms
         self._answer_by_ms = self._deadline_ms
         self._missing: tuple[str, ...] = ()
-        self._story = Story(asked.id, self._around.timers.now_ms)
+        self._trace = RequestTrace(asked.id, self._around.timers.now_ms)
         self._timer: Subscription | None = None
         self._cancel: Callable[[], None] | None = None
         self._watch: RequestWatch | None = None
@@ -113,7 +113,7 @@
         terms = self._terms(delays, self._deadline_ms)
         if self._watch.one_first:
             terms = replace(terms, max_attempts=1, hedge_ms=None)
-        call = ServiceCall(around, self._asked, service, terms, delays, self._called, self._story)
+        call = ServiceCall(around, self._asked, service, terms, delays, self._called, self._trace)
         self._begin(call.cancel, lambda: self._expired(call))
         call.start()
 
@@ -140,7 +140,7 @@
             delays,
             self._parts.far,
             self._gathered,
-            self._story,
+            self._trace,
         )
         self._begin(gathering.cancel, gathering.time_out)
         gathering.start()
@@ -252,9 +252,9 @@
 
     def _log(self, why: str, status: int, missing: int = 0) -> None:
         if why == "sampled" or not (_is_success(status) or status == CALLER_GONE):
-            self._story.tell()
+            self._trace.write_log()
         elif missing:
-            self._story.tell(frozenset(self._missing))
+            self._trace.write_log(frozenset(self._missing))
         log_event(
             "request-ended",
             request=self._asked.id,
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -20,8 +20,8 @@
     NotRun,
     Outcome,
     Replied,
+    RequestTrace,
     SearcherReply,
-    Story,
     Surroundings,
     Why,
 )
@@ -225,7 +225,7 @@
             self.delays,
             self.far,
             on_end,
-            Story(request_id, self.timers.now_ms),
+            RequestTrace(request_id, self.timers.now_ms),
         )
         gathering.start()
         return gathering
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.fleet import Searcher
-from rhubarbhinge.forward import CallerRequest, Exchange, Lost, NotRun, Story, Why
+from rhubarbhinge.forward import CallerRequest, Exchange, Lost, NotRun, RequestTrace, Why
 from rhubarbhinge.gateway._call_terms import call_terms
 from rhubarbhinge.gateway.tests.simulated_attempts import (
     ENTRIES,
@@ -190,7 +190,7 @@
             self.delays,
             self.far,
             on_end,
-            Story(request_id, self.timers.now_ms),
+            RequestTrace(request_id, self.timers.now_ms),
         )
 
 
--- a/rhubarbhinge/gather/_gathering.py
+++ b/rhubarbhinge/gather/_gathering.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.fleet import Delays
-from rhubarbhinge.forward import CallerRequest, Story, Surroundings
+from rhubarbhinge.forward import CallerRequest, RequestTrace, Surroundings
 from rhubarbhinge.gather._far_search import FarAsk, FarNews, FarPart, FarSearch
 from rhubarbhinge.gather._gather_terms import GatherTerms
 from rhubarbhinge.gather._merge import merge_greatest
@@ -21,7 +21,7 @@
     :param delays: the usual delays of such requests at one shard.
     :param far: how other entries are asked for the shards near them.
     :param on_end: told the result, once and later than the start.
-    :param story: keeps what is decided.
+    :param trace: records the decisions made for the request.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         delays: Delays,
         far: FarSearch,
         on_end: Callable[[Gathered | NotEnough], None],
-        story: Story,
+        trace: RequestTrace,
     ):
         self._around = surroundings
         self._request = request
@@ -40,9 +40,9 @@
         self._control = terms.call.control
         self._far = far
         self._on_end = on_end
-        self._story = story
+        self._trace = trace
         self._calls = ShardCalls(
-            surroundings, request, terms.call, delays, self._shard_ended, story
+            surroundings, request, terms.call, delays, self._shard_ended, trace
         )
         self._not_begun: list[str] = []
         self._signatures: dict[str, str] = {}
@@ -106,7 +106,7 @@
             self._fail(timed_out=True)
 
     def _ask(self, address: str, services: list[str]) -> None:
-        self._story.note("ask-sent", ",".join(services), entry=address)
+        self._trace.note("ask-sent", ",".join(services), entry=address)
         ask = self._far.ask(
             address,
             self._request,
@@ -149,7 +149,7 @@
             return
         ask, services = self._asks.pop(address)
         in_time = "none" if part is None else len(part.services)
-        self._story.note("ask-ended", ",".join(services), entry=address, parts=in_time)
+        self._trace.note("ask-ended", ",".join(services), entry=address, parts=in_time)
         for name in services:
             if part is None or name not in part.pending:
                 self._control.on_over(name)
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -10,10 +10,10 @@
     CallerRequest,
     CallTerms,
     Passed,
+    RequestTrace,
     Result,
     SearcherReply,
     ServiceCall,
-    Story,
     Surroundings,
 )
 
@@ -44,7 +44,7 @@
     :param terms: what is granted to the call to each shard.
     :param delays: the usual delays of such requests at one shard.
     :param on_end: told how each call came out, later than its start.
-    :param story: keeps what is decided.
+    :param trace: records the decisions made for the request.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         terms: CallTerms,
         delays: Delays,
         on_end: Callable[[ShardEnd], None],
-        story: Story,
+        trace: RequestTrace,
     ):
         self._around = surroundings
         self._request = request
         self._terms = terms
         self._delays = delays
         self._on_end = on_end
-        self._story = story
+        self._trace = trace
         self._calls: dict[str, ServiceCall] = {}
 
     @property
@@ -94,7 +94,7 @@
                 self._terms,
                 self._delays,
                 self._ended,
-                self._story,
+                self._trace,
                 ran.get(name, 0),
             )
             for name in services
--- a/rhubarbhinge/gather/tests/gathering_case.py
+++ b/rhubarbhinge/gather/tests/gathering_case.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbhinge.forward import UNLIMITED, AttemptControl, Lost, Story, Why
+from rhubarbhinge.forward import UNLIMITED, AttemptControl, Lost, RequestTrace, Why
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 from rhubarbhinge.gather import (
     FarNews,
@@ -72,7 +72,7 @@
             self.world.delays,
             self.far.search,
             self.ends.append,
-            Story("r1", self.world.timers.now_ms),
+            RequestTrace("r1", self.world.timers.now_ms),
         )
         self.gathering.start()
 
--- a/rhubarbhinge/gather/tests/test_gathering.py
+++ b/rhubarbhinge/gather/tests/test_gathering.py
@@ -1,6 +1,6 @@
 """Searches: when they are answered, and with what."""
 
-from rhubarbhinge.forward import NotRun, Story, Why
+from rhubarbhinge.forward import NotRun, RequestTrace, Why
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 from rhubarbhinge.gather import (
     FarPart,
@@ -82,7 +82,7 @@
             world.delays,
             self.far.search,
             ends.append,
-            Story("r1", world.timers.now_ms),
+            RequestTrace("r1", world.timers.now_ms),
         ).start()
         world.timers.advance(0.0)
         self.assertEqual(ends, [NotEnough(SHARDS, False)])
