--- a/rhubarbhinge/fleet/_choice.py
+++ b/rhubarbhinge/fleet/_choice.py
@@ -17,8 +17,7 @@
 hedged each time, which consumes the retry budget of its shard, while a first request to a remote
 searcher consumes none."""
 COLD_FACTOR = 1.6
-"""Slowdown assumed for a searcher just after its start if its published entry does not state one.
-"""
+"""Slowdown assumed for a searcher just after its start if its published entry states none."""
 REFUSAL_COST_FACTOR = 4.0
 """Cost of a certain refusal, as a multiple of the typical latency. A refusal consumes retry budget,
 which is soon exhausted."""
@@ -29,8 +28,7 @@
 """Makes searchers that were unresponsive or refused recently a last resort."""
 
 CostFunction = Callable[[ObservedSearcher, float, float], float]
-"""Returns the cost of a searcher, given the typical latency and the current time; the lowest wins.
-"""
+"""Returns the cost of a searcher, given the typical latency and the time; the lowest wins."""
 
 MaySend = Callable[[ObservedSearcher, float], bool]
 """Tells whether a searcher may receive a request at a given time; others are skipped."""
--- a/rhubarbhinge/fleet/_observed.py
+++ b/rhubarbhinge/fleet/_observed.py
@@ -6,8 +6,7 @@
 SMOOTHING = 0.3
 """Weight of a new observation; after three slow replies in a row they dominate the estimate."""
 SLOWNESS_HALF_LIFE_MS = 4_000.0
-"""Half-life of an estimate above 1 without new observations, so that the searcher is tried again.
-"""
+"""Half-life of an estimate above 1 without new observations; lets the searcher be tried again."""
 MAX_SLOWNESS = 20.0
 """Upper bound of the estimate, so that a searcher that hung recovers within a few half-lives."""
 REFUSAL_SMOOTHING = 0.2
--- a/rhubarbhinge/forward/_request_trace.py
+++ b/rhubarbhinge/forward/_request_trace.py
@@ -1,13 +1,11 @@
-"""Trace of the decisions made for one request, logged only if the request turns out to be of
-interest."""
+"""Trace of the decisions made for one request, logged only if the request is of interest."""
 
 from collections.abc import Callable
 
 from rhubarbhinge.telemetry import log_event
 
 MAX_STEPS = 60
-"""Maximum number of steps kept per request; enough for a search over 30 shards with one hedge each.
-"""
+"""Maximum number of steps per request; enough for a search over 30 shards with one hedge each."""
 
 Step = tuple[float, str, str, str, dict]
 
