--- a/rhubarbhinge/delegation/_serving.py
+++ b/rhubarbhinge/delegation/_serving.py
@@ -17,7 +17,7 @@
     Taken,
 )
 from rhubarbhinge.fleet import Delays
-from rhubarbhinge.forward import CallerRequest, CallTerms, RequestTrace, SearcherReply, Surroundings
+from rhubarbhinge.forward import CallContext, CallerRequest, CallTerms, RequestTrace, SearcherReply
 from rhubarbhinge.gather import FarNews, ShardCalls, ShardEnd, merge_greatest
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
@@ -38,7 +38,7 @@
     """Searches shards for entries of other failure domains.
 
     :param timers: the timer service.
-    :param surroundings: what requests share.
+    :param context: what requests share.
     :param terms_of: gives what is granted to the calls of an ask.
     :param delays_of: gives the usual delays on a route with a latency objective.
     :param bind: IP address and port to listen at.
@@ -50,14 +50,14 @@
     def __init__(
         self,
         timers: TimerService,
-        surroundings: Surroundings,
+        context: CallContext,
         terms_of: TermsOf,
         delays_of: Callable[[str, float], Delays],
         bind: tuple[str, int],
     ):
         super().__init__()
         self._timers = timers
-        self._around = surroundings
+        self._context = context
         self._terms_of = terms_of
         self._delays_of = delays_of
         self._by_link: dict[int, _Link] = {}
@@ -102,7 +102,7 @@
             self._links.flush(link)
             delays = self._delays_of(message.route, message.target_latency_ms)
             search = _Search(
-                self._around,
+                self._context,
                 message,
                 self._terms_of(message, delays),
                 delays,
@@ -141,7 +141,7 @@
 class _Search:
     """One ask that is being worked on.
 
-    :param surroundings: what requests share.
+    :param context: what requests share.
     :param ask: what is asked.
     :param terms: what is granted to the call to each shard.
     :param delays: the usual delays of such requests at one shard.
@@ -152,14 +152,14 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        context: CallContext,
         ask: Ask,
         terms: CallTerms,
         delays: Delays,
         on_answer: Callable[[Answer], None],
         want_leave: Callable[[tuple[str, ...], FarNews], None],
     ):
-        self._around = surroundings
+        self._context = context
         self._ask = ask
         self._on_answer = on_answer
         self._parts: dict[str, SearcherReply] = {}
@@ -170,21 +170,21 @@
         self._told = False
         self._over = False
         request = CallerRequest(ask.request_id, ask.head, ask.body, ask.left_ms)
-        self._trace = RequestTrace(ask.request_id, surroundings.timers.now_ms)
-        self.leave = AttemptLeave(surroundings.timers, want_leave)
+        self._trace = RequestTrace(ask.request_id, context.timers.now_ms)
+        self.leave = AttemptLeave(context.timers, want_leave)
         terms = replace(terms, control=self.leave)
-        self._calls = ShardCalls(surroundings, request, terms, delays, self._ended, self._trace)
-        self._due_ms = surroundings.timers.now_ms() + ask.answer_in_ms
+        self._calls = ShardCalls(context, request, terms, delays, self._ended, self._trace)
+        self._due_ms = context.timers.now_ms() + ask.answer_in_ms
         self._timer: Subscription | None = None
 
     def start(self) -> None:
         """Send to the shards, unless it was cancelled meanwhile."""
         if self._over:
             return
-        timers = self._around.timers
+        timers = self._context.timers
         self._timer = timers.after(self._due_ms - timers.now_ms(), self._answer_due)
         if not self._ask.searcher:
-            self._around.budget.on_request(self._ask.services)
+            self._context.budget.on_request(self._ask.services)
         self._calls.start(self._ask.services)
 
     def cancel(self) -> None:
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.delegation import Answer, Ask, AskServer, Delegates
 from rhubarbhinge.delegation._delegates import TAKEN_MS
 from rhubarbhinge.fleet import Delays, DomainReach
-from rhubarbhinge.forward import Lost, Surroundings, Why
+from rhubarbhinge.forward import CallContext, Lost, Why
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
 from rhubarbhinge.gather import FarNews
 from rhubarbhinge.members import Member, Membership, MemberState, Published
@@ -30,18 +30,18 @@
         self.hedge_ms = None
         self.leave = lambda services: services
         self.world = FakeWorld(services=("s0", "s1"))
-        around = self.world.around
-        around = Surroundings(
+        context = self.world.context
+        context = CallContext(
             self.timers,
-            around.fleet,
-            around.preference,
-            around.budget,
-            around.send,
-            around.metrics,
+            context.fleet,
+            context.preference,
+            context.budget,
+            context.send,
+            context.metrics,
         )
         self.server = AskServer(
             self.timers,
-            around,
+            context,
             lambda ask, delays: self.world.terms(
                 hedge_ms=self.hedge_ms, deadline_ms=self.timers.now_ms() + 60_000.0
             ),
--- a/rhubarbhinge/forward/__init__.py
+++ b/rhubarbhinge/forward/__init__.py
@@ -1,6 +1,7 @@
 """Sends requests to individual searchers: connection pool, reply parsing, retries and hedging."""
 
 from rhubarbhinge.forward._attempt_control import UNLIMITED, AttemptControl, Unlimited
+from rhubarbhinge.forward._call_context import CallContext
 from rhubarbhinge.forward._call_terms import CallTerms
 from rhubarbhinge.forward._caller_request import CallerRequest
 from rhubarbhinge.forward._dialect import Dialect
@@ -14,11 +15,11 @@
 from rhubarbhinge.forward._search_terms import SearchTerms
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 from rhubarbhinge.forward._service_call import ServiceCall
-from rhubarbhinge.forward._surroundings import Surroundings
 
 __all__ = [
     "Attempt",
     "AttemptControl",
+    "CallContext",
     "CallTerms",
     "CallerRequest",
     "ConnectionPool",
@@ -39,7 +40,6 @@
     "SearcherReply",
     "SendAttempt",
     "ServiceCall",
-    "Surroundings",
     "UNLIMITED",
     "Unlimited",
     "Why",
--- a/rhubarbhinge/forward/_surroundings.py
+++ b/rhubarbhinge/forward/_call_context.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.timing import TimerService
 
 
-class Surroundings(Struct, frozen=True):
+class CallContext(Struct, frozen=True):
     """Dependencies shared by all calls.
 
     :param timers: the timer service.
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.fleet import Delays, ObservedSearcher, SearcherStart, best_searcher
+from rhubarbhinge.forward._call_context import CallContext
 from rhubarbhinge.forward._call_terms import CallTerms
 from rhubarbhinge.forward._caller_request import CallerRequest
 from rhubarbhinge.forward._exchange import Attempt, Exchange
@@ -10,7 +11,6 @@
 from rhubarbhinge.forward._request_trace import RequestTrace
 from rhubarbhinge.forward._result import Failed, Passed, Refused, Result
 from rhubarbhinge.forward._searcher_reply import SearcherReply
-from rhubarbhinge.forward._surroundings import Surroundings
 from rhubarbhinge.telemetry import SubQueryKind
 from rhubarbhinge.timing import Subscription
 
@@ -34,7 +34,7 @@
 class ServiceCall:
     """A call to one service, including its retries and hedges.
 
-    :param surroundings: dependencies shared by all calls.
+    :param context: dependencies shared by all calls.
     :param request: the caller's request.
     :param service: name of the service.
     :param terms: limits and options of the call.
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        context: CallContext,
         request: CallerRequest,
         service: str,
         terms: CallTerms,
@@ -77,7 +77,7 @@
         trace: RequestTrace,
         ran: int = 0,
     ):
-        self._context = surroundings
+        self._context = context
         self._request = request
         self.service = service
         self._terms = terms
@@ -131,8 +131,8 @@
             attempt.cancel()
 
     def _choose(self) -> ObservedSearcher | None:
-        around, terms = self._context, self._terms
-        searchers = around.fleet.of(self.service)
+        context, terms = self._context, self._terms
+        searchers = context.fleet.of(self.service)
         if terms.searcher:
             searchers = [
                 one
@@ -142,11 +142,11 @@
             ]
         return best_searcher(
             searchers,
-            around.preference,
+            context.preference,
             self._delays.quantile(0.5),
-            around.timers.now_ms(),
+            context.timers.now_ms(),
             self._tried,
-            around.may_send,
+            context.may_send,
         )
 
     def _not_sent_fields(self, chosen: ObservedSearcher | None) -> dict:
--- a/rhubarbhinge/forward/tests/fakes.py
+++ b/rhubarbhinge/forward/tests/fakes.py
@@ -5,13 +5,13 @@
 
 from rhubarbhinge.fleet import Delays, Fleet, ObservedSearcher, Searcher, expected_cost
 from rhubarbhinge.forward import (
+    CallContext,
     CallerRequest,
     CallTerms,
     Exchange,
     Outcome,
     Replied,
     SearcherReply,
-    Surroundings,
 )
 from rhubarbhinge.retries import BudgetRule, RetryBudget
 from rhubarbhinge.telemetry import Metrics
@@ -76,7 +76,7 @@
         self.delays = Delays(20.0)
         preference = expected_cost("hall-a", random.Random(1))
         self.metrics = Metrics()
-        self.around = Surroundings(
+        self.context = CallContext(
             self.timers, self.fleet, preference, self.budget, self._send, self.metrics
         )
 
--- a/rhubarbhinge/forward/tests/test_service_call.py
+++ b/rhubarbhinge/forward/tests/test_service_call.py
@@ -46,7 +46,7 @@
         self.world = world
         self.results: list[Result] = []
         call = ServiceCall(
-            world.around,
+            world.context,
             REQUEST,
             "shard",
             world.terms(**terms),
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -9,7 +9,7 @@
 
 from rhubarbhinge.delegation import Ask, AskServer, Delegates, FarSends
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
-from rhubarbhinge.forward import CallTerms, ConnectionPool, Dialect, Surroundings
+from rhubarbhinge.forward import CallContext, CallTerms, ConnectionPool, Dialect
 from rhubarbhinge.gateway._address import Address
 from rhubarbhinge.gateway._answer_lead import AnswerLead
 from rhubarbhinge.gateway._call_terms import ask_terms
@@ -109,7 +109,7 @@
         )
         self._budget = RetryBudget(settings.retry_budget, self.timers.now_ms, self._processes)
         preference = expected_cost(settings.failure_domain, self._rng)
-        around = Surroundings(
+        context = CallContext(
             self.timers,
             self._fleet,
             preference,
@@ -165,9 +165,9 @@
         prepare = delegates.prepare
         self.timers.every(LINKS_MS, lambda: prepare(settings.failure_domain))
         self._far_sends = FarSends(self.timers, delegates, settings.failure_domain, self._pool.send)
-        far = far_search(settings.failure_domain, around, delegates, self._rng)
+        far = far_search(settings.failure_domain, context, delegates, self._rng)
         parts = GatewayParts(
-            around,
+            context,
             dialect,
             self._follower,
             self._metrics,
@@ -183,7 +183,7 @@
         )
         self._asks = AskServer(
             self.timers,
-            around,
+            context,
             self._ask_terms,
             self._gateway.delays_of,
             (settings.ip, settings.ask_port),
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_far_search.py
@@ -12,7 +12,7 @@
 
 from rhubarbhinge.delegation import ANSWER_MARGIN_MS, Answer, Ask, Delegate, Delegates
 from rhubarbhinge.fleet import Fleet
-from rhubarbhinge.forward import CallerRequest, Surroundings
+from rhubarbhinge.forward import CallContext, CallerRequest
 from rhubarbhinge.gather import FarPart, FarSearch, GatherTerms, GrantAttempts
 
 MOST_SHARDS = 15
@@ -22,14 +22,14 @@
 
 def far_search(
     failure_domain: str,
-    surroundings: Surroundings,
+    context: CallContext,
     delegates: Delegates,
     rng: random.Random,
 ) -> FarSearch:
     """Leave shards without a searcher in this failure domain to other entries, and split many.
 
     :param failure_domain: that of this entry.
-    :param surroundings: what requests share.
+    :param context: what requests share.
     :param delegates: asks other entries.
     :param rng: spreads the asks over the domains.
     :returns: how other entries are asked.
@@ -39,7 +39,7 @@
         request: CallerRequest, terms: GatherTerms, served: Iterable[str]
     ) -> dict[str, list[str]]:
         served = list(served)
-        far = _far_domains(surroundings.fleet, failure_domain, served)
+        far = _far_domains(context.fleet, failure_domain, served)
         near = [service for service in served if service not in far]
         by_address = {}
         while far:
@@ -62,7 +62,7 @@
         on_part: Callable[[FarPart | None], None],
         grant: GrantAttempts,
     ) -> Delegate:
-        now_ms = surroundings.timers.now_ms()
+        now_ms = context.timers.now_ms()
         message = Ask(
             number=0,
             request_id=request.id,
--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -31,7 +31,7 @@
         self._follower = parts.follower
         self._splitter = Splitter()
         self._delays: dict[str, Delays] = {}
-        self._recent = RecentRoutes(parts.surroundings.timers.now_ms)
+        self._recent = RecentRoutes(parts.context.timers.now_ms)
 
     def on_plan(self, plan: ServingPlan) -> None:
         """Follow a new plan.
@@ -57,7 +57,7 @@
         plan = self._follower.plan
         if plan is None:
             return False
-        fleet = self._parts.surroundings.fleet
+        fleet = self._parts.context.fleet
         by_name = {route.name: route for route in plan.routes}
         servable = served = 0
         for name, requests in self._recent.counts():
--- a/rhubarbhinge/gateway/_gateway_parts.py
+++ b/rhubarbhinge/gateway/_gateway_parts.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct
 
-from rhubarbhinge.forward import Dialect, Surroundings
+from rhubarbhinge.forward import CallContext, Dialect
 from rhubarbhinge.gateway._answer_lead import AnswerLead
 from rhubarbhinge.gather import FarSearch
 from rhubarbhinge.published import Follower
@@ -16,7 +16,7 @@
 class GatewayParts(Struct, frozen=True):
     """What the requests of a gateway share.
 
-    :param surroundings: timers, searchers, budget and connections.
+    :param context: timers, searchers, budget and connections.
     :param dialect: translates messages.
     :param follower: knows the plan.
     :param metrics: counts.
@@ -27,7 +27,7 @@
     :param quarantine: which requests end the searchers that execute them.
     """
 
-    surroundings: Surroundings
+    context: CallContext
     dialect: Dialect
     follower: Follower
     metrics: Metrics
--- a/rhubarbhinge/gateway/_handling.py
+++ b/rhubarbhinge/gateway/_handling.py
@@ -66,12 +66,12 @@
         transit_ms: float = 0.0,
     ):
         self._parts = parts
-        self._around = parts.surroundings
+        self._context = parts.context
         self._asked = asked
         self._plan = plan
         self._route = route
         self._responder = responder
-        self._started_ms = self._around.timers.now_ms()
+        self._started_ms = self._context.timers.now_ms()
         wait_ms = route.timeout_ms
         if asked.wait_ms is not None:
             wait_ms = min(wait_ms, asked.wait_ms - transit_ms - WRITE_MARGIN_MS)
@@ -79,7 +79,7 @@
         self._transit_ms = transit_ms
         self._answer_by_ms = self._deadline_ms
         self._missing: tuple[str, ...] = ()
-        self._trace = RequestTrace(asked.id, self._around.timers.now_ms)
+        self._trace = RequestTrace(asked.id, self._context.timers.now_ms)
         self._timer: Subscription | None = None
         self._cancel: Callable[[], None] | None = None
         self._watch: RequestWatch | None = None
@@ -108,12 +108,12 @@
         :param service: the service.
         :param delays: the usual delays of such requests.
         """
-        around = self._around
-        around.budget.on_request((service,))
+        context = self._context
+        context.budget.on_request((service,))
         terms = self._terms(delays, self._deadline_ms)
         if self._watch.one_first:
             terms = replace(terms, max_attempts=1, hedge_ms=None)
-        call = ServiceCall(around, self._asked, service, terms, delays, self._called, self._trace)
+        call = ServiceCall(context, self._asked, service, terms, delays, self._called, self._trace)
         self._begin(call.cancel, lambda: self._expired(call))
         call.start()
 
@@ -134,7 +134,7 @@
             self._terms(delays, answer_by_ms, route.shards.top_k),
         )
         gathering = Gathering(
-            self._around,
+            self._context,
             self._asked,
             terms,
             delays,
@@ -165,7 +165,7 @@
         self._cancel = cancel
         self._responder.on_abandoned(self._abandoned)
         wait_ms = self._deadline_ms - self._started_ms
-        self._timer = self._around.timers.after(wait_ms, on_timeout)
+        self._timer = self._context.timers.after(wait_ms, on_timeout)
 
     def _abandoned(self) -> None:
         self._timer.cancel()
@@ -213,7 +213,7 @@
             self._answer(answer, "gathered", missing)
             self._parts.lead.on_answered(self._route.name, answer)
             if result.by_time:
-                self._parts.lead.on_delay(self._around.timers.now_ms() - self._answer_by_ms)
+                self._parts.lead.on_delay(self._context.timers.now_ms() - self._answer_by_ms)
         elif not result.may_have_run:
             answer = self._refusal("too-few-shards", "Too few shards can answer.")
             self._answer(answer, "timeout" if result.timed_out else "no-shards", missing)
@@ -237,7 +237,7 @@
         self._responder.answer(answer)
         if self._watch is not None:
             self._watch.close()
-        took_ms = self._around.timers.now_ms() - self._started_ms
+        took_ms = self._context.timers.now_ms() - self._started_ms
         self._parts.metrics.observe_latency(self._route.host, self._route.name, took_ms)
         succeeded = _is_success(answer.status)
         if not succeeded:
@@ -268,7 +268,7 @@
             missing=missing,
             without=",".join(self._missing[:MOST_NAMED_SHARDS]),
             wait_ms=self._asked.wait_ms,
-            took_ms=round(self._around.timers.now_ms() - self._started_ms, 1),
+            took_ms=round(self._context.timers.now_ms() - self._started_ms, 1),
         )
 
 
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -13,6 +13,7 @@
 from rhubarbhinge.delegation import Ask, AskServer, Delegates, FarSends, _delegates, _serving
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, Searcher, expected_cost
 from rhubarbhinge.forward import (
+    CallContext,
     CallerRequest,
     CallTerms,
     Exchange,
@@ -22,7 +23,6 @@
     Replied,
     RequestTrace,
     SearcherReply,
-    Surroundings,
     Why,
 )
 from rhubarbhinge.gateway import _far_search
@@ -160,7 +160,7 @@
         for searcher in world.published:
             fleet.put(searcher)
         budget = RetryBudget(BudgetRule(0.2, 100.0, 10_000.0), self.timers.now_ms, lambda: 1)
-        self.around = Surroundings(
+        self.context = CallContext(
             self.timers,
             fleet,
             expected_cost(domain, rng),
@@ -180,13 +180,13 @@
             self.delegates = Delegates(self.timers, NamedMembers(name), PORT, rng, reach)
             self.asks = AskServer(
                 self.timers,
-                self.around,
+                self.context,
                 self._ask_terms,
                 lambda route, target_ms: self.delays,
                 (name, PORT),
             )
         self._far_sends = FarSends(self.timers, self.delegates, domain, self._send)
-        self.far = _far_search.far_search(domain, self.around, self.delegates, rng)
+        self.far = _far_search.far_search(domain, self.context, self.delegates, rng)
 
     def _send(self, exchange: Exchange, tell: Callable[[Outcome], None]) -> SimulatedAttempt:
         return SimulatedAttempt(self.world.searchers, self.timers, exchange, tell)
@@ -219,7 +219,7 @@
         )
         request = CallerRequest(request_id, b"GET /x HTTP/1.1\r\n", b"", WAIT_MS)
         gathering = Gathering(
-            self.around,
+            self.context,
             request,
             terms,
             self.delays,
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -184,7 +184,7 @@
         terms = GatherTerms("route", world.shards, TARGET_MS, due_ms, replace(call, control=watch))
         head = FATAL_HEAD if fatal else b"GET /x HTTP/1.1\r\n"
         return Gathering(
-            self.around,
+            self.context,
             CallerRequest(request_id, head, b"", WAIT_MS),
             terms,
             self.delays,
@@ -228,7 +228,7 @@
         new = replace(old, started_unix_ms=int(self.timers.now_ms()))
         self.published[self.published.index(old)] = new
         for entry in self.entries.values():
-            entry.around.fleet.put(new)
+            entry.context.fleet.put(new)
 
     def play_fatal(self, seconds: int) -> None:
         """Have the fatal request come some times a second, and good ones beside it."""
--- a/rhubarbhinge/gateway/tests/test_far_search.py
+++ b/rhubarbhinge/gateway/tests/test_far_search.py
@@ -28,7 +28,7 @@
         for service in services:
             domain = "hall-a" if near else "hall-b"
             world.fleet.put(Searcher(f"i-{service}", service, "10.0.0.1", 80, domain, 2))
-        far = far_search("hall-a", world.around, FakeDelegates(entries), random.Random(1))
+        far = far_search("hall-a", world.context, FakeDelegates(entries), random.Random(1))
         self.services = services
         return far.shards_for(REQUEST, None, services)
 
--- a/rhubarbhinge/gateway/tests/test_gateway.py
+++ b/rhubarbhinge/gateway/tests/test_gateway.py
@@ -63,7 +63,7 @@
         self.link_bits_per_ms = 0.0
         self.metrics = self.world.metrics
         parts = GatewayParts(
-            self.world.around,
+            self.world.context,
             FakeDialect(),
             self.follower,
             self.metrics,
--- a/rhubarbhinge/gather/_gathering.py
+++ b/rhubarbhinge/gather/_gathering.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.fleet import Delays
-from rhubarbhinge.forward import CallerRequest, RequestTrace, Surroundings
+from rhubarbhinge.forward import CallContext, CallerRequest, RequestTrace
 from rhubarbhinge.gather._far_search import FarAsk, FarNews, FarPart, FarSearch
 from rhubarbhinge.gather._gather_terms import GatherTerms
 from rhubarbhinge.gather._merge import merge_greatest
@@ -15,7 +15,7 @@
 class Gathering:
     """One search under way.
 
-    :param surroundings: what requests share.
+    :param context: what requests share.
     :param request: the caller's request.
     :param terms: what is granted.
     :param delays: the usual delays of such requests at one shard.
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        context: CallContext,
         request: CallerRequest,
         terms: GatherTerms,
         delays: Delays,
@@ -34,16 +34,14 @@
         on_end: Callable[[Gathered | NotEnough], None],
         trace: RequestTrace,
     ):
-        self._around = surroundings
+        self._context = context
         self._request = request
         self._terms = terms
         self._control = terms.call.control
         self._far = far
         self._on_end = on_end
         self._trace = trace
-        self._calls = ShardCalls(
-            surroundings, request, terms.call, delays, self._shard_ended, trace
-        )
+        self._calls = ShardCalls(context, request, terms.call, delays, self._shard_ended, trace)
         self._not_begun: list[str] = []
         self._signatures: dict[str, str] = {}
         self._bodies: list[bytes] = []
@@ -56,13 +54,13 @@
 
     def start(self) -> None:
         """Send to every shard, unless too few have a searcher."""
-        around, shards = self._around, self._terms.shards
-        served = [name for name in shards.services if around.fleet.is_reachable(name)]
+        context, shards = self._context, self._terms.shards
+        served = [name for name in shards.services if context.fleet.is_reachable(name)]
         if not shards.is_enough(len(served)):
-            around.timers.after(0, self._fail)
+            context.timers.after(0, self._fail)
             return
-        wait_ms = self._terms.answer_by_ms - around.timers.now_ms()
-        self._timer = around.timers.after(max(0.0, wait_ms), self._time_to_answer)
+        wait_ms = self._terms.answer_by_ms - context.timers.now_ms()
+        self._timer = context.timers.after(max(0.0, wait_ms), self._time_to_answer)
         if self._control.one_first:
             self._not_begun = served
             self._begin_one()
@@ -72,17 +70,17 @@
     def _begin_one(self) -> None:
         """Send to one shard, before any other gets a request that may end its searchers."""
         service = self._not_begun.pop(0)
-        self._around.budget.on_request((service,))
+        self._context.budget.on_request((service,))
         self._calls.start((service,))
 
     def _begin(self, served: list[str]) -> None:
-        around = self._around
+        context = self._context
         by_address = self._far.shards_for(self._request, self._terms, served)
         for address, services in by_address.items():
             self._ask(address, services)
         left = {name for services in by_address.values() for name in services}
         near = [name for name in served if name not in left]
-        around.budget.on_request(near)
+        context.budget.on_request(near)
         self._calls.start(near)
 
     def cancel(self) -> None:
@@ -187,7 +185,7 @@
             self._begin_one()
         else:
             not_begun, self._not_begun = self._not_begun, []
-            is_reachable = self._around.fleet.is_reachable
+            is_reachable = self._context.fleet.is_reachable
             self._begin([name for name in not_begun if is_reachable(name)])
 
     def _look(self) -> None:
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -7,6 +7,7 @@
 
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import (
+    CallContext,
     CallerRequest,
     CallTerms,
     Passed,
@@ -14,7 +15,6 @@
     Result,
     SearcherReply,
     ServiceCall,
-    Surroundings,
 )
 
 NONE_RAN: Mapping[str, int] = MappingProxyType({})
@@ -39,7 +39,7 @@
 class ShardCalls:
     """One request to each of some shards.
 
-    :param surroundings: what requests share.
+    :param context: what requests share.
     :param request: the caller's request.
     :param terms: what is granted to the call to each shard.
     :param delays: the usual delays of such requests at one shard.
@@ -49,14 +49,14 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        context: CallContext,
         request: CallerRequest,
         terms: CallTerms,
         delays: Delays,
         on_end: Callable[[ShardEnd], None],
         trace: RequestTrace,
     ):
-        self._around = surroundings
+        self._context = context
         self._request = request
         self._terms = terms
         self._delays = delays
@@ -88,7 +88,7 @@
         """
         calls = [
             ServiceCall(
-                self._around,
+                self._context,
                 self._request,
                 name,
                 self._terms,
--- a/rhubarbhinge/gather/tests/gathering_case.py
+++ b/rhubarbhinge/gather/tests/gathering_case.py
@@ -66,7 +66,7 @@
             self.world.terms(hedge_ms=hedge_ms, control=control),
         )
         self.gathering = Gathering(
-            self.world.around,
+            self.world.context,
             REQUEST,
             terms,
             self.world.delays,
--- a/rhubarbhinge/gather/tests/test_gathering.py
+++ b/rhubarbhinge/gather/tests/test_gathering.py
@@ -76,7 +76,7 @@
             "route", ShardSet(SHARDS, 2, 0.75), 100.0, 1_090.0, world.terms(hedge_ms=None)
         )
         Gathering(
-            world.around,
+            world.context,
             REQUEST,
             terms,
             world.delays,
