--- a/rhubarbhinge/delegation/_far_sends.py
+++ b/rhubarbhinge/delegation/_far_sends.py
@@ -8,13 +8,13 @@
 from rhubarbhinge.forward import (
     Attempt,
     Exchange,
+    FailureReason,
     Lost,
     NotRun,
     Outcome,
     Replied,
     SearcherReply,
     SendAttempt,
-    Why,
 )
 from rhubarbhinge.gather import FarNews
 from rhubarbhinge.timing import TimerService
@@ -173,12 +173,12 @@
             return Replied(_reply(exchange.request.id, answer), delay_ms)
         if answer is not None and answer.untried == (service,):
             searcher.on_withdrawn(self._number)
-            return NotRun(Why.UNREACHABLE)
+            return NotRun(FailureReason.UNREACHABLE)
         if answer is not None and not answer.may_have_run:
             searcher.on_refused(self._number, now_ms)
-            return NotRun(Why.NO_ROOM)
+            return NotRun(FailureReason.NO_ROOM)
         searcher.on_withdrawn(self._number)
-        return Lost(Why.BROKEN, self._searcher_ended)
+        return Lost(FailureReason.BROKEN, self._searcher_ended)
 
 
 def _reply(request_id: str, answer: Answer) -> SearcherReply:
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.delegation import Answer, Ask, AskServer, Delegates
 from rhubarbhinge.delegation._delegates import TAKEN_MS
 from rhubarbhinge.fleet import Delays, DomainReach
-from rhubarbhinge.forward import CallContext, Lost, Why
+from rhubarbhinge.forward import CallContext, FailureReason, Lost
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
 from rhubarbhinge.gather import FarNews
 from rhubarbhinge.members import Member, Membership, MemberState, Published
@@ -259,7 +259,7 @@
         self.wait(lambda: self.answers)
         self.assertEqual(set(self.answers[0].pending), {"s0", "s1"})
         run_until(self.root, lambda: False, 0.1)
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.wait(lambda: len(self.world.attempts) == 3)
         run_until(self.root, lambda: False, 0.1)
         self.assertEqual(len(self.answers), 1)
--- a/rhubarbhinge/delegation/tests/test_far_sends.py
+++ b/rhubarbhinge/delegation/tests/test_far_sends.py
@@ -4,7 +4,7 @@
 
 from rhubarbhinge.delegation import Answer, Ask, FarSends
 from rhubarbhinge.fleet import Searcher
-from rhubarbhinge.forward import Exchange, Lost, NotRun, Replied, SearchTerms, Why
+from rhubarbhinge.forward import Exchange, FailureReason, Lost, NotRun, Replied, SearchTerms
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeAttempt, FakeWorld
 from rhubarbhinge.gather import FarNews
 
@@ -111,15 +111,15 @@
         self.delegates.answer(None)
         self.send()
         self.answer(ran=False)
-        lost = Lost(Why.BROKEN)
-        expected = [NotRun(Why.UNREACHABLE), lost, lost, NotRun(Why.NO_ROOM)]
+        lost = Lost(FailureReason.BROKEN)
+        expected = [NotRun(FailureReason.UNREACHABLE), lost, lost, NotRun(FailureReason.NO_ROOM)]
         self.assertEqual(self.outcomes, expected)
         self.assertEqual(len(self.far.started_ms), 0)
 
     def test_an_answer_of_another_shard_is_none(self):
         self.send()
         self.answer(services=("s1",))
-        self.assertEqual(self.outcomes, [Lost(Why.BROKEN)])
+        self.assertEqual(self.outcomes, [Lost(FailureReason.BROKEN)])
 
     def test_cancelling_cancels_the_ask_and_tells_nothing(self):
         attempt = self.send()
--- a/rhubarbhinge/forward/__init__.py
+++ b/rhubarbhinge/forward/__init__.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.forward._dialect import Dialect
 from rhubarbhinge.forward._exchange import Attempt, Exchange, SendAttempt
 from rhubarbhinge.forward._fingerprint import fingerprint
-from rhubarbhinge.forward._outcome import Lost, NotRun, Outcome, Replied, Why
+from rhubarbhinge.forward._outcome import FailureReason, Lost, NotRun, Outcome, Replied
 from rhubarbhinge.forward._pool import ConnectionPool
 from rhubarbhinge.forward._reply_reader import RawReply, ReplyReader
 from rhubarbhinge.forward._request_trace import RequestTrace
@@ -26,6 +26,7 @@
     "Dialect",
     "Exchange",
     "Failed",
+    "FailureReason",
     "Lost",
     "NotRun",
     "Outcome",
@@ -42,6 +43,5 @@
     "ServiceCall",
     "UNLIMITED",
     "Unlimited",
-    "Why",
     "fingerprint",
 ]
--- a/rhubarbhinge/forward/_outcome.py
+++ b/rhubarbhinge/forward/_outcome.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 
 
-class Why(Enum):
+class FailureReason(Enum):
     """Reason why an attempt got no reply."""
 
     NO_ROOM = "no-room"
@@ -43,7 +43,7 @@
     :param why: reason.
     """
 
-    why: Why
+    why: FailureReason
 
 
 class Lost(Struct, frozen=True):
@@ -54,7 +54,7 @@
         port.
     """
 
-    why: Why
+    why: FailureReason
     searcher_ended: bool = False
 
 
--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -11,7 +11,7 @@
 from rhubarbhinge.forward._dialect import Dialect
 from rhubarbhinge.forward._exchange import Attempt, Exchange
 from rhubarbhinge.forward._exit_checks import ExitChecks
-from rhubarbhinge.forward._outcome import Lost, NotRun, Outcome, Why
+from rhubarbhinge.forward._outcome import FailureReason, Lost, NotRun, Outcome
 from rhubarbhinge.forward._pending_exchange import PendingExchange
 from rhubarbhinge.forward._reply_outcome import is_reply_to, outcome_of, record_reply
 from rhubarbhinge.forward._reply_reader import RawReply, ReplyError
@@ -149,7 +149,7 @@
             return
         for conn in list(connections.idle):
             self._drop(conn)
-        self._withdraw_waiting(connections, Why.LEAVING)
+        self._withdraw_waiting(connections, FailureReason.LEAVING)
 
     def close_idle(self) -> None:
         """Close idle connections whose keep-alive time has expired."""
@@ -218,7 +218,7 @@
         """Close a connection whose searcher became unusable while it was being established."""
         pending, conn.pending = conn.pending, None
         if pending is not None:
-            self._withdraw(pending, Why.LEAVING)
+            self._withdraw(pending, FailureReason.LEAVING)
         self._drop(conn)
 
     def _received(self, link: int, data: bytes) -> None:
@@ -232,7 +232,7 @@
         try:
             replies = conn.reader.feed(data)
         except ReplyError as error:
-            self._fail(conn, Lost(Why.MALFORMED), error.code)
+            self._fail(conn, Lost(FailureReason.MALFORMED), error.code)
             return
         for raw in replies:
             if conn.pending is None:
@@ -271,7 +271,7 @@
             searcher=conn.searcher.searcher.incarnation,
         )
         if not more_may_come or conn.skipped > MAX_SKIPPED_REPLIES:
-            self._fail(conn, Lost(Why.MALFORMED), "other-request")
+            self._fail(conn, Lost(FailureReason.MALFORMED), "other-request")
 
     def _keep(self, conn: Connection, keep_alive_ms: float | None) -> None:
         connections = self._connections(conn.searcher)
@@ -294,7 +294,7 @@
     ) -> PendingExchange | None:
         found, expired = connections.pop_sendable(now_ms)
         for pending in expired:
-            self._withdraw(pending, Why.TOO_LATE)
+            self._withdraw(pending, FailureReason.TOO_LATE)
         return found
 
     def _cancelled(self, pending: PendingExchange) -> None:
@@ -331,9 +331,9 @@
         elif conn.is_open:
             by_peer = reason in (CloseReason.PEER, CloseReason.RESET)
             unanswered = by_peer and not conn.reader.begun
-            self._fail(conn, Lost(Why.BROKEN), reason.value, check_end=unanswered)
+            self._fail(conn, Lost(FailureReason.BROKEN), reason.value, check_end=unanswered)
         else:
-            self._fail(conn, NotRun(Why.UNREACHABLE), reason.value)
+            self._fail(conn, NotRun(FailureReason.UNREACHABLE), reason.value)
 
     def _fail(self, conn: Connection, outcome: Outcome, code: str, check_end: bool = False) -> None:
         pending, conn.pending = conn.pending, None
@@ -387,7 +387,7 @@
         """Mark a searcher as unreachable and fail its unsent requests, so that they are sent
         elsewhere."""
         observed.on_unreachable()
-        self._withdraw_waiting(self._connections(observed), Why.UNREACHABLE)
+        self._withdraw_waiting(self._connections(observed), FailureReason.UNREACHABLE)
         opening = [c for c in self._by_link.values() if c.searcher is observed and not c.is_open]
         for conn in opening:
             if conn is but:
@@ -395,14 +395,14 @@
             if conn.pending is None:
                 self._drop(conn)
             else:
-                self._fail(conn, NotRun(Why.UNREACHABLE), code)
+                self._fail(conn, NotRun(FailureReason.UNREACHABLE), code)
 
-    def _withdraw_waiting(self, connections: SearcherConnections, why: Why) -> None:
+    def _withdraw_waiting(self, connections: SearcherConnections, why: FailureReason) -> None:
         """Report all queued exchanges as not run."""
         while (pending := connections.pop_waiting()) is not None:
             self._withdraw(pending, why)
 
-    def _withdraw(self, pending: PendingExchange, why: Why) -> None:
+    def _withdraw(self, pending: PendingExchange, why: FailureReason) -> None:
         pending.exchange.searcher.on_withdrawn(pending.number)
         self._timers.after(0, lambda: self._report(pending, NotRun(why)))
 
--- a/rhubarbhinge/forward/_reply_outcome.py
+++ b/rhubarbhinge/forward/_reply_outcome.py
@@ -1,6 +1,6 @@
 """Interprets replies: the outcome for the request, and the statistics of the searcher."""
 
-from rhubarbhinge.forward._outcome import Lost, NotRun, Outcome, Replied, Why
+from rhubarbhinge.forward._outcome import FailureReason, Lost, NotRun, Outcome, Replied
 from rhubarbhinge.forward._pending_exchange import PendingExchange
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 
@@ -29,11 +29,11 @@
     :returns: the outcome.
     """
     if reply.wrong_searcher:
-        return NotRun(Why.WRONG_SEARCHER)
+        return NotRun(FailureReason.WRONG_SEARCHER)
     if reply.not_run:
-        return NotRun(Why.NO_ROOM)
+        return NotRun(FailureReason.NO_ROOM)
     if reply.encoded:
-        return Lost(Why.MALFORMED)
+        return Lost(FailureReason.MALFORMED)
     return Replied(reply, delay_ms)
 
 
--- a/rhubarbhinge/forward/_result.py
+++ b/rhubarbhinge/forward/_result.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from rhubarbhinge.forward._outcome import Why
+from rhubarbhinge.forward._outcome import FailureReason
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 
 
@@ -21,7 +21,7 @@
     :param why: reason of the last attempt; None if no searcher could be tried.
     """
 
-    why: Why | None
+    why: FailureReason | None
 
 
 class Failed(Struct, frozen=True):
@@ -30,7 +30,7 @@
     :param why: reason of the last attempt; None if the time ran out.
     """
 
-    why: Why | None
+    why: FailureReason | None
 
 
 Result = Passed | Refused | Failed
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -7,7 +7,14 @@
 from rhubarbhinge.forward._call_terms import CallTerms
 from rhubarbhinge.forward._caller_request import CallerRequest
 from rhubarbhinge.forward._exchange import Attempt, Exchange
-from rhubarbhinge.forward._outcome import Lost, NotRun, Outcome, Replied, Why, outcome_fields
+from rhubarbhinge.forward._outcome import (
+    FailureReason,
+    Lost,
+    NotRun,
+    Outcome,
+    Replied,
+    outcome_fields,
+)
 from rhubarbhinge.forward._request_trace import RequestTrace
 from rhubarbhinge.forward._result import Failed, Passed, Refused, Result
 from rhubarbhinge.forward._searcher_reply import SearcherReply
@@ -17,7 +24,7 @@
 MAX_REFUSALS = 4
 """Maximum number of refused attempts per call. A refused request is not executed, but still counts
 as extra load on the service."""
-NOT_SENT_CAUSES = (Why.UNREACHABLE, Why.LEAVING, Why.TOO_LATE)
+NOT_SENT_CAUSES = (FailureReason.UNREACHABLE, FailureReason.LEAVING, FailureReason.TOO_LATE)
 """Reasons for which the request did not reach a searcher."""
 SUB_QUERY_KINDS = {
     "first": SubQueryKind.BASE,
@@ -90,7 +97,7 @@
         self._refusals = 0
         self._arrived = ran > 0
         self._failed_reply: SearcherReply | None = None
-        self._why: Why | None = None
+        self._why: FailureReason | None = None
         self._may_have_run = False
         self._timer: Subscription | None = None
         self.over = False
@@ -264,13 +271,13 @@
         else:
             self._finish_unsuccessfully()
 
-    def _not_run(self, why: Why) -> None:
+    def _not_run(self, why: FailureReason) -> None:
         self._why = why
         self._ran -= 1
         if why not in NOT_SENT_CAUSES:
             self._arrived = True
             self._refusals += 1
-        if why is Why.TOO_LATE:
+        if why is FailureReason.TOO_LATE:
             self._finish_unsuccessfully()
         else:
             self._retry()
--- a/rhubarbhinge/forward/tests/test_pool.py
+++ b/rhubarbhinge/forward/tests/test_pool.py
@@ -11,11 +11,11 @@
     CallerRequest,
     ConnectionPool,
     Exchange,
+    FailureReason,
     Lost,
     NotRun,
     Outcome,
     Replied,
-    Why,
 )
 from rhubarbhinge.forward.tests.scripted import PlainDialect, ScriptedSearcher, reply
 from rhubarbhinge.timing import TimerService
@@ -103,7 +103,7 @@
         self.fleet.set_evacuated("hall-a", True)
         self.pool.forget(self.observed)
         for name in ("r1", "r2"):
-            self.assertEqual(self.outcome(name), NotRun(Why.LEAVING))
+            self.assertEqual(self.outcome(name), NotRun(FailureReason.LEAVING))
         self.assertEqual(self.requests, [])
         self.fleet.set_evacuated("hall-a", False)
         self.send("r3")
@@ -185,7 +185,7 @@
         self.send("r1")
         self.received(1)
         self.answer(0, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-        self.assertEqual(self.outcome("r1"), Lost(Why.MALFORMED))
+        self.assertEqual(self.outcome("r1"), Lost(FailureReason.MALFORMED))
 
     def test_a_duplicate_reply_is_not_attributed_to_the_next_request(self):
         self.send("r1")
@@ -210,27 +210,27 @@
         self.send("r1")
         self.received(1)
         self.answer(0, reply("", status="421 Misdirected Request"))
-        self.assertEqual(self.outcome("r1"), NotRun(Why.WRONG_SEARCHER))
+        self.assertEqual(self.outcome("r1"), NotRun(FailureReason.WRONG_SEARCHER))
         self.assertFalse(self.observed.usable)
 
     def test_a_refusal_is_reported_as_not_run(self):
         self.send("r1")
         self.received(1)
         self.answer(0, reply("", status="503 Service Unavailable", more="Not-Run: 1\r\n"))
-        self.assertEqual(self.outcome("r1"), NotRun(Why.NO_ROOM))
+        self.assertEqual(self.outcome("r1"), NotRun(FailureReason.NO_ROOM))
         self.assertTrue(self.observed.is_avoided(self.timers.now_ms()))
 
     def test_a_connection_closed_before_the_reply_is_reported_as_lost(self):
         self.send("r1")
         self.received(1)
         self.searcher.links.abort(self.requests[0][0])
-        self.assertEqual(self.outcome("r1"), Lost(Why.BROKEN))
+        self.assertEqual(self.outcome("r1"), Lost(FailureReason.BROKEN))
 
     def test_a_live_searcher_that_closes_a_connection_has_not_exited(self):
         self.send("r1")
         self.received(1)
         self.searcher.links.abort(self.requests[0][0])
-        self.assertEqual(self.outcome("r1"), Lost(Why.BROKEN, searcher_ended=False))
+        self.assertEqual(self.outcome("r1"), Lost(FailureReason.BROKEN, searcher_ended=False))
         self.assertEqual(len(self.searcher.accepted), 2)
 
     def test_a_searcher_without_listener_has_exited(self):
@@ -242,7 +242,7 @@
         for link, _ in self.requests:
             self.searcher.links.abort(link)
         for name in ("r1", "r2"):
-            self.assertEqual(self.outcome(name), Lost(Why.BROKEN, searcher_ended=True))
+            self.assertEqual(self.outcome(name), Lost(FailureReason.BROKEN, searcher_ended=True))
         self.assertTrue(self.observed.is_down)
 
     def test_a_partial_reply_triggers_no_exit_check(self):
@@ -250,7 +250,7 @@
         self.received(1)
         self.searcher.links.send(self.requests[0][0], b"HTTP/1.1 200 OK\r\n")
         self.searcher.links.close(self.requests[0][0])
-        self.assertEqual(self.outcome("r1"), Lost(Why.BROKEN, searcher_ended=False))
+        self.assertEqual(self.outcome("r1"), Lost(FailureReason.BROKEN, searcher_ended=False))
         self.assertEqual(len(self.searcher.accepted), 1)
 
     def test_a_reply_delimited_by_close_is_complete(self):
@@ -290,14 +290,14 @@
             run_until(self.root, lambda: False, 0.1)
             conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             conn.close()
-            self.assertEqual(self.outcome("r1"), Lost(Why.BROKEN))
+            self.assertEqual(self.outcome("r1"), Lost(FailureReason.BROKEN))
 
     def test_a_searcher_without_listener_is_down_until_a_connection_succeeds(self):
         port = free_port()
         gone = type(self.observed.searcher)("i-3", "shard", "127.0.0.1", port, "hall-a", 2)
         observed = self.add(gone)
         self.send("r1", observed)
-        self.assertEqual(self.outcome("r1"), NotRun(Why.UNREACHABLE))
+        self.assertEqual(self.outcome("r1"), NotRun(FailureReason.UNREACHABLE))
         self.assertTrue(observed.is_down)
         with socket.create_server(("127.0.0.1", port)):
             self.pool.open_ahead(observed)
@@ -319,7 +319,7 @@
         self.pool.verify(self.observed)
         self.assertTrue(self.observed.is_down)
         for name in ("r2", "r3"):
-            self.assertEqual(self.outcome(name), NotRun(Why.UNREACHABLE))
+            self.assertEqual(self.outcome(name), NotRun(FailureReason.UNREACHABLE))
         self.answer(0, reply("r1"))
         self.assertIsInstance(self.outcome("r1"), Replied)
         self.assertFalse(self.observed.is_down)
@@ -354,7 +354,7 @@
         attempt = self.send("r2", deadline_ms=1.0)
         self.assertFalse(attempt.sent)
         self.answer(0, reply("r1"))
-        self.assertEqual(self.outcome("r2"), NotRun(Why.TOO_LATE))
+        self.assertEqual(self.outcome("r2"), NotRun(FailureReason.TOO_LATE))
         self.assertEqual(len(self.requests), 1)
 
     def test_requests_past_their_objective_are_queued_behind_others(self):
@@ -393,7 +393,7 @@
         self.send("r2")
         self.fleet.remove("i-1")
         self.pool.forget(self.observed)
-        self.assertEqual(self.outcome("r2"), NotRun(Why.LEAVING))
+        self.assertEqual(self.outcome("r2"), NotRun(FailureReason.LEAVING))
         self.answer(0, reply("r1"))
         self.assertIsInstance(self.outcome("r1"), Replied)
         self.wait(lambda: self.pool.open_connections == 0)
--- a/rhubarbhinge/forward/tests/test_service_call.py
+++ b/rhubarbhinge/forward/tests/test_service_call.py
@@ -5,6 +5,7 @@
 from rhubarbhinge.fleet import Searcher
 from rhubarbhinge.forward import (
     Failed,
+    FailureReason,
     Lost,
     NotRun,
     Passed,
@@ -13,7 +14,6 @@
     Result,
     ServiceCall,
     Unlimited,
-    Why,
 )
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 
@@ -90,11 +90,11 @@
         world = FakeWorld(slack=5.0)
         self.start(world, deadline_ms=world.timers.now_ms() + 40.0, hedge_ms=None)
         for _ in range(2):
-            world.attempts[-1].end(NotRun(Why.NO_ROOM))
+            world.attempts[-1].end(NotRun(FailureReason.NO_ROOM))
         world.timers.stand_still(50.0)
         world.timers.advance(1.0)
         self.assertEqual(2, len(world.attempts))
-        self.assertEqual([Refused(Why.NO_ROOM)], self.results)
+        self.assertEqual([Refused(FailureReason.NO_ROOM)], self.results)
 
     def test_a_hedge_that_needs_permission_is_sent_once_granted(self):
         permission = FakePermission()
@@ -107,7 +107,7 @@
     def test_a_retry_that_needs_permission_is_sent_once_granted(self):
         permission = FakePermission()
         self.start(FakeWorld(), control=permission)
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.assertEqual((self.sent(), self.results), (1, []))
         permission.grant()
         self.world.attempts[1].end(replied(body=b"two"))
@@ -126,9 +126,9 @@
             self.start(FakeWorld(), searcher=name, retry_until_ms=0.0)
             self.world.timers.advance(500.0)
             self.assertEqual([attempt.name for attempt in self.world.attempts], [name])
-            self.world.attempts[0].end(NotRun(Why.NO_ROOM))
+            self.world.attempts[0].end(NotRun(FailureReason.NO_ROOM))
             self.world.timers.advance(500.0)
-            self.assertEqual((self.sent(), self.results), (1, [Refused(Why.NO_ROOM)]))
+            self.assertEqual((self.sent(), self.results), (1, [Refused(FailureReason.NO_ROOM)]))
 
     def restart_searchers(self, born: int) -> FakeWorld:
         """Restart both searchers, in a new world the first time."""
@@ -147,11 +147,11 @@
     def test_restarted_searchers_allow_no_additional_attempts(self):
         self.start(self.restart_searchers(1_000), hedge_ms=None)
         self.restart_searchers(2_000)
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.restart_searchers(3_000)
-        self.world.attempts[1].end(Lost(Why.BROKEN))
+        self.world.attempts[1].end(Lost(FailureReason.BROKEN))
         self.world.timers.advance(500.0)
-        self.assertEqual((self.sent(), self.results), (2, [Failed(Why.BROKEN)]))
+        self.assertEqual((self.sent(), self.results), (2, [Failed(FailureReason.BROKEN)]))
 
     def test_a_restarted_searcher_may_receive_the_retry(self):
         # The only searcher left is a new start under the id that already received the request.
@@ -160,7 +160,7 @@
         self.restart_searchers(2_000)
         other = ({"shard-1", "shard-2"} - {first}).pop()
         self.world.fleet.remove(other)
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.assertEqual([attempt.name for attempt in self.world.attempts], [first, first])
         self.world.attempts[1].end(replied(body=b"two"))
         self.assertEqual(self.results[0].reply.body, b"two")
@@ -168,28 +168,28 @@
     def test_a_non_idempotent_request_is_not_retried_at_a_restarted_searcher(self):
         self.start(self.restart_searchers(1_000), idempotent=False)
         self.restart_searchers(2_000)
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.world.timers.advance(500.0)
-        self.assertEqual((self.sent(), self.results), (1, [Failed(Why.BROKEN)]))
+        self.assertEqual((self.sent(), self.results), (1, [Failed(FailureReason.BROKEN)]))
 
     def test_no_more_attempts_than_allowed(self):
         self.start(FakeWorld(), max_attempts=1)
         self.world.timers.advance(500.0)
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.assertEqual(self.sent(), 1)
-        self.assertEqual(self.results, [Failed(Why.BROKEN)])
+        self.assertEqual(self.results, [Failed(FailureReason.BROKEN)])
 
     def test_a_non_idempotent_request_is_neither_hedged_nor_retried_after_a_loss(self):
         self.start(FakeWorld(), idempotent=False)
         self.world.timers.advance(500.0)
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.world.timers.advance(500.0)
         self.assertEqual(self.sent(), 1)
-        self.assertEqual(self.results, [Failed(Why.BROKEN)])
+        self.assertEqual(self.results, [Failed(FailureReason.BROKEN)])
 
     def test_a_non_idempotent_request_is_retried_when_it_was_not_run(self):
         self.start(FakeWorld(), idempotent=False)
-        self.world.attempts[0].end(NotRun(Why.NO_ROOM))
+        self.world.attempts[0].end(NotRun(FailureReason.NO_ROOM))
         self.assertEqual(self.sent(), 2)
         self.world.attempts[1].end(replied())
         self.assertIsInstance(self.results[0], Passed)
@@ -208,20 +208,20 @@
     def test_refusals_by_all_searchers_end_as_refused(self):
         call = self.start(FakeWorld())
         for _ in range(4):
-            self.world.attempts[-1].end(NotRun(Why.NO_ROOM))
+            self.world.attempts[-1].end(NotRun(FailureReason.NO_ROOM))
             self.world.timers.advance(25.0)
-        self.assertEqual(self.results, [Refused(Why.NO_ROOM)])
+        self.assertEqual(self.results, [Refused(FailureReason.NO_ROOM)])
         self.assertFalse(call.may_have_run)
 
     def test_refusals_consume_budget(self):
         self.start(FakeWorld(slack=0.0))
-        self.world.attempts[0].end(NotRun(Why.NO_ROOM))
+        self.world.attempts[0].end(NotRun(FailureReason.NO_ROOM))
         self.assertEqual(self.sent(), 1)
-        self.assertEqual(self.results, [Refused(Why.NO_ROOM)])
+        self.assertEqual(self.results, [Refused(FailureReason.NO_ROOM)])
 
     def test_an_attempt_that_never_arrived_is_retried_without_budget(self):
         self.start(FakeWorld(slack=0.0))
-        self.world.attempts[0].end(NotRun(Why.UNREACHABLE))
+        self.world.attempts[0].end(NotRun(FailureReason.UNREACHABLE))
         self.assertEqual(self.sent(), 2)
 
     def test_a_queued_attempt_moves_without_budget(self):
@@ -241,7 +241,7 @@
         world.fleet.put(Searcher("shard-3", "shard", "10.0.0.1", 80, "hall-a", 2))
         self.start(world)
         world.unsent_next = True
-        world.attempts[0].end(NotRun(Why.NO_ROOM))
+        world.attempts[0].end(NotRun(FailureReason.NO_ROOM))
         self.assertEqual(self.sent(), 2)
         world.timers.advance(100.0)
         self.assertFalse(world.attempts[1].cancelled)
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -17,13 +17,13 @@
     CallerRequest,
     CallTerms,
     Exchange,
+    FailureReason,
     Lost,
     NotRun,
     Outcome,
     Replied,
     RequestTrace,
     SearcherReply,
-    Why,
 )
 from rhubarbhinge.gateway import _far_search
 from rhubarbhinge.gateway._call_terms import ask_terms, call_terms
@@ -67,7 +67,9 @@
         self.sent = False
         rng, troubles = searchers.rng, searchers.troubles
         if rng.random() < troubles.unreachable:
-            timers.after(rng.choice((0.0, 5.0, 350.0)), lambda: self._end(NotRun(Why.UNREACHABLE)))
+            timers.after(
+                rng.choice((0.0, 5.0, 350.0)), lambda: self._end(NotRun(FailureReason.UNREACHABLE))
+            )
         elif rng.random() < troubles.queued:
             timers.after(rng.uniform(1.0, 200.0), self._write)
         else:
@@ -83,7 +85,7 @@
         if not refused:
             self._searchers.run(self._exchange)
         delay_ms = rng.uniform(2.0, 250.0)
-        outcome = NotRun(Why.NO_ROOM) if refused else self._run_outcome(rng, troubles)
+        outcome = NotRun(FailureReason.NO_ROOM) if refused else self._run_outcome(rng, troubles)
         if outcome is not None:
             self._timers.after(delay_ms, lambda: self._end(outcome))
 
@@ -93,7 +95,7 @@
             return None
         drawn = rng.random()
         if drawn < troubles.lose:
-            return Lost(Why.BROKEN)
+            return Lost(FailureReason.BROKEN)
         status = 500 if rng.random() < troubles.fail else 200
         signature = f"sig-{self._exchange.searcher.searcher.incarnation}"
         request_id = self._exchange.request.id
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.fleet import Searcher
-from rhubarbhinge.forward import CallerRequest, Exchange, Lost, NotRun, RequestTrace, Why
+from rhubarbhinge.forward import CallerRequest, Exchange, FailureReason, Lost, NotRun, RequestTrace
 from rhubarbhinge.gateway._call_terms import call_terms
 from rhubarbhinge.gateway.tests.simulated_attempts import (
     ENTRIES,
@@ -103,7 +103,7 @@
     def _write(self) -> None:
         searchers, searcher = self._searchers, self._exchange.searcher.searcher
         if searcher.incarnation in searchers.down:
-            self._timers.after(1.0, lambda: self._end(NotRun(Why.UNREACHABLE)))
+            self._timers.after(1.0, lambda: self._end(NotRun(FailureReason.UNREACHABLE)))
             return
         if self._exchange.request.head != FATAL_HEAD:
             super()._write()
@@ -114,7 +114,7 @@
         searchers.run(self._exchange)
         ends_ms = searchers.rng.uniform(2.0, 60.0)
         searchers.world.timers.after(ends_ms, lambda: searchers.end(searcher))
-        self._timers.after(ends_ms + 2.0, lambda: self._end(Lost(Why.BROKEN, True)))
+        self._timers.after(ends_ms + 2.0, lambda: self._end(Lost(FailureReason.BROKEN, True)))
 
 
 class FatalEntry(SimulatedEntry):
--- a/rhubarbhinge/gateway/tests/test_gateway.py
+++ b/rhubarbhinge/gateway/tests/test_gateway.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from rhubarbhinge.forward import CallerRequest, Lost, NotRun, SearcherReply, Why
+from rhubarbhinge.forward import CallerRequest, FailureReason, Lost, NotRun, SearcherReply
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
 from rhubarbhinge.gateway import AnswerLead, Gateway, GatewayParts
 from rhubarbhinge.gateway._handling import SAMPLED_ONE_IN
@@ -134,7 +134,7 @@
         self.world.timers.advance(50.0)
         self.world.attempts[1].end(replied())
         self.ask("/once/x")
-        self.world.attempts[2].end(Lost(Why.BROKEN))
+        self.world.attempts[2].end(Lost(FailureReason.BROKEN))
         text = self.metrics.render().decode()
         for part in ('kind="base"', 'kind="hedge"', 'code="broken"', 'class="one"'):
             self.assertIn(part, text)
@@ -155,14 +155,14 @@
     def test_what_was_refused_by_all_is_refused_with_a_time_to_come_back(self):
         self.ask("/once/x")
         for _ in range(4):
-            self.world.attempts[-1].end(NotRun(Why.NO_ROOM))
+            self.world.attempts[-1].end(NotRun(FailureReason.NO_ROOM))
             self.world.timers.advance(25.0)
         self.assertEqual(self.status(), 503)
         self.assertGreater(self.retry_after(), 0.0)
 
     def test_what_may_have_run_is_never_called_refused(self):
         self.ask("/once/x")
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.assertEqual(self.status(), 502)
 
     def test_the_route_s_time_ends_the_wait_and_the_searcher(self):
--- a/rhubarbhinge/gather/tests/gathering_case.py
+++ b/rhubarbhinge/gather/tests/gathering_case.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbhinge.forward import UNLIMITED, AttemptControl, Lost, RequestTrace, Why
+from rhubarbhinge.forward import UNLIMITED, AttemptControl, FailureReason, Lost, RequestTrace
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 from rhubarbhinge.gather import (
     FarNews,
@@ -85,4 +85,4 @@
     def lose(self, service: str) -> None:
         for attempt in list(self.world.attempts):
             if attempt.service == service:
-                attempt.end(Lost(Why.BROKEN))
+                attempt.end(Lost(FailureReason.BROKEN))
--- a/rhubarbhinge/gather/tests/test_ended_searchers.py
+++ b/rhubarbhinge/gather/tests/test_ended_searchers.py
@@ -5,7 +5,7 @@
 of them, to a crash.
 """
 
-from rhubarbhinge.forward import Lost, NotRun, Why
+from rhubarbhinge.forward import FailureReason, Lost, NotRun
 from rhubarbhinge.gather import EndedSearcher, FarNews, FarSearch
 from rhubarbhinge.gather.tests.gathering_case import SHARDS, GatheringCase
 from rhubarbhinge.quarantine import RequestWatch
@@ -30,7 +30,7 @@
             if attempt.service in services and not attempt.cancelled and not attempt.ended:
                 attempt.ended = True
                 self.world.observed(attempt.name).on_unreachable()
-                attempt.end(Lost(Why.BROKEN, searcher_ended=True))
+                attempt.end(Lost(FailureReason.BROKEN, searcher_ended=True))
 
     def test_each_shard_loses_one_searcher_and_one_of_them_two(self):
         self.start()
@@ -121,7 +121,7 @@
         self.start(one_first=True)
         for name in ("s0-1", "s0-2"):
             self.world.fleet.mark_gone(self.world.observed(name))
-        self.world.attempts[0].end(NotRun(Why.LEAVING))
+        self.world.attempts[0].end(NotRun(FailureReason.LEAVING))
         self.world.timers.advance(200.0)
         self.assertEqual({one.service for one in self.world.attempts}, {"s0", "s1"})
         self.answer("s1")
--- a/rhubarbhinge/gather/tests/test_gathering.py
+++ b/rhubarbhinge/gather/tests/test_gathering.py
@@ -1,6 +1,6 @@
 """Searches: when they are answered, and with what."""
 
-from rhubarbhinge.forward import NotRun, RequestTrace, Why
+from rhubarbhinge.forward import FailureReason, NotRun, RequestTrace
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 from rhubarbhinge.gather import (
     FarPart,
@@ -102,7 +102,7 @@
         self.start(least=0.25)
         for _ in range(8):
             for attempt in list(self.world.attempts):
-                attempt.end(NotRun(Why.NO_ROOM))
+                attempt.end(NotRun(FailureReason.NO_ROOM))
             self.world.timers.advance(25.0)
         self.assertEqual(self.ends, [NotEnough(SHARDS, False)])
 
