--- a/rhubarbhinge/forward/_outcome.py
+++ b/rhubarbhinge/forward/_outcome.py
@@ -40,21 +40,21 @@
 class NotRun(Struct, frozen=True):
     """The request was definitely not executed.
 
-    :param why: reason.
+    :param reason: reason for the failure.
     """
 
-    why: FailureReason
+    reason: FailureReason
 
 
 class Lost(Struct, frozen=True):
     """The request was sent, but it is unknown whether it was executed.
 
-    :param why: reason.
+    :param reason: reason for the failure.
     :param searcher_ended: whether the searcher's process has exited, i.e. nothing listens on its
         port.
     """
 
-    why: FailureReason
+    reason: FailureReason
     searcher_ended: bool = False
 
 
@@ -72,5 +72,5 @@
         return {"outcome": "replied", "status": outcome.reply.status, "delay_ms": delay_ms}
     return {
         "outcome": "not-run" if isinstance(outcome, NotRun) else "lost",
-        "why": outcome.why.value,
+        "why": outcome.reason.value,
     }
--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -348,14 +348,14 @@
             level="warning",
             request=pending.exchange.request.id,
             searcher=observed.searcher.incarnation,
-            why=outcome.why.value,
+            why=outcome.reason.value,
             code=code,
             may_have_run=isinstance(outcome, Lost),
         )
         self._drop(conn)
         if check_end:
             self._exit_checks.check(
-                observed, lambda ended: self._report(pending, Lost(outcome.why, ended))
+                observed, lambda ended: self._report(pending, Lost(outcome.reason, ended))
             )
         else:
             self._report(pending, outcome)
@@ -397,14 +397,14 @@
             else:
                 self._fail(conn, NotRun(FailureReason.UNREACHABLE), code)
 
-    def _withdraw_waiting(self, connections: SearcherConnections, why: FailureReason) -> None:
+    def _withdraw_waiting(self, connections: SearcherConnections, reason: FailureReason) -> None:
         """Report all queued exchanges as not run."""
         while (pending := connections.pop_waiting()) is not None:
-            self._withdraw(pending, why)
+            self._withdraw(pending, reason)
 
-    def _withdraw(self, pending: PendingExchange, why: FailureReason) -> None:
+    def _withdraw(self, pending: PendingExchange, reason: FailureReason) -> None:
         pending.exchange.searcher.on_withdrawn(pending.number)
-        self._timers.after(0, lambda: self._report(pending, NotRun(why)))
+        self._timers.after(0, lambda: self._report(pending, NotRun(reason)))
 
     def _report(self, pending: PendingExchange, outcome: Outcome) -> None:
         if not pending.finished:
--- a/rhubarbhinge/forward/_result.py
+++ b/rhubarbhinge/forward/_result.py
@@ -18,19 +18,19 @@
 class Refused(Struct, frozen=True):
     """No searcher has executed the request or will.
 
-    :param why: reason of the last attempt; None if no searcher could be tried.
+    :param reason: reason of the last attempt; None if no searcher could be tried.
     """
 
-    why: FailureReason | None
+    reason: FailureReason | None
 
 
 class Failed(Struct, frozen=True):
     """No reply was received, but a searcher may have executed the request.
 
-    :param why: reason of the last attempt; None if the time ran out.
+    :param reason: reason of the last attempt; None if the time ran out.
     """
 
-    why: FailureReason | None
+    reason: FailureReason | None
 
 
 Result = Passed | Refused | Failed
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -24,7 +24,7 @@
 MAX_REFUSALS = 4
 """Maximum number of refused attempts per call. A refused request is not executed, but still counts
 as extra load on the service."""
-NOT_SENT_CAUSES = (FailureReason.UNREACHABLE, FailureReason.LEAVING, FailureReason.TOO_LATE)
+NOT_SENT_REASONS = (FailureReason.UNREACHABLE, FailureReason.LEAVING, FailureReason.TOO_LATE)
 """Reasons for which the request did not reach a searcher."""
 SUB_QUERY_KINDS = {
     "first": SubQueryKind.BASE,
@@ -67,7 +67,7 @@
         "_refusals",
         "_arrived",
         "_failed_reply",
-        "_why",
+        "_last_reason",
         "_may_have_run",
         "_timer",
         "over",
@@ -97,7 +97,7 @@
         self._refusals = 0
         self._arrived = ran > 0
         self._failed_reply: SearcherReply | None = None
-        self._why: FailureReason | None = None
+        self._last_reason: FailureReason | None = None
         self._may_have_run = False
         self._timer: Subscription | None = None
         self.over = False
@@ -166,16 +166,16 @@
             "budget_left": round(self._context.budget.left(self.service), 1),
         }
 
-    def _send(self, observed: ObservedSearcher, why: str) -> None:
+    def _send(self, observed: ObservedSearcher, reason: str) -> None:
         start = observed.start
         now_ms = self._context.timers.now_ms()
-        kind = SUB_QUERY_KINDS[why]
+        kind = SUB_QUERY_KINDS[reason]
         self._context.metrics.count_sub_queries(self._terms.route_name, kind)
         self._trace.note(
             "attempt-sent",
             self.service,
             start.incarnation,
-            why=why,
+            why=reason,
             in_flight=len(observed.started_ms),
             slowness=round(observed.slowness(now_ms), 2),
             left_ms=round(self._terms.deadline_ms - now_ms),
@@ -244,7 +244,7 @@
         if isinstance(outcome, Replied):
             self._replied(outcome.reply)
         elif isinstance(outcome, NotRun):
-            self._not_run(outcome.why)
+            self._not_run(outcome.reason)
         else:
             self._lost(start, outcome)
 
@@ -261,7 +261,7 @@
     def _lost(self, start: SearcherStart, outcome: Lost) -> None:
         self._arrived = True
         self._may_have_run = True
-        self._why = outcome.why
+        self._last_reason = outcome.reason
         if outcome.searcher_ended:
             self._terms.control.on_ended(self.service, start.mark)
         if self.over:
@@ -271,13 +271,13 @@
         else:
             self._finish_unsuccessfully()
 
-    def _not_run(self, why: FailureReason) -> None:
-        self._why = why
+    def _not_run(self, reason: FailureReason) -> None:
+        self._last_reason = reason
         self._ran -= 1
-        if why not in NOT_SENT_CAUSES:
+        if reason not in NOT_SENT_REASONS:
             self._arrived = True
             self._refusals += 1
-        if why is FailureReason.TOO_LATE:
+        if reason is FailureReason.TOO_LATE:
             self._finish_unsuccessfully()
         else:
             self._retry()
@@ -330,9 +330,9 @@
         if self._failed_reply is not None:
             self._finish(Passed(self._failed_reply))
         elif self._may_have_run:
-            self._finish(Failed(self._why))
+            self._finish(Failed(self._last_reason))
         else:
-            self._finish(Refused(self._why))
+            self._finish(Refused(self._last_reason))
 
     def _finish(self, result: Result) -> None:
         self.cancel()
--- a/rhubarbhinge/gateway/_handling.py
+++ b/rhubarbhinge/gateway/_handling.py
@@ -191,10 +191,10 @@
         if isinstance(result, Passed):
             self._pass_on(result)
         elif isinstance(result, Refused):
-            why = result.why.value if result.why else "no-searcher"
+            why = result.reason.value if result.reason else "no-searcher"
             self._answer(self._refusal(why, "No searcher took the request."), why)
         elif isinstance(result, Failed):
-            why = result.why.value if result.why else "failed"
+            why = result.reason.value if result.reason else "failed"
             self._answer(failed(why, "The searcher's reply did not come."), why)
 
     def _pass_on(self, result: Passed) -> None:
