--- a/rhubarbhinge/fleet/__init__.py
+++ b/rhubarbhinge/fleet/__init__.py
@@ -13,8 +13,8 @@
 from rhubarbhinge.fleet._domain_reach import DomainReach
 from rhubarbhinge.fleet._fleet import Fleet
 from rhubarbhinge.fleet._observed import ObservedSearcher
+from rhubarbhinge.fleet._reported_load import ReportedLoad
 from rhubarbhinge.fleet._searcher import Searcher, SearcherStart
-from rhubarbhinge.fleet._told_load import ToldLoad
 
 __all__ = [
     "ColdRule",
@@ -25,9 +25,9 @@
     "Fleet",
     "MaySend",
     "ObservedSearcher",
+    "ReportedLoad",
     "Searcher",
     "SearcherStart",
-    "ToldLoad",
     "allow_all",
     "best_searcher",
     "expected_cost",
--- a/rhubarbhinge/fleet/_told_load.py
+++ b/rhubarbhinge/fleet/_reported_load.py
@@ -6,7 +6,7 @@
 """Execution time is as usual."""
 
 
-class ToldLoad(Struct, frozen=True):
+class ReportedLoad(Struct, frozen=True):
     """Load of a searcher at the time of its reply. It is out of date on arrival, and may be wrong.
 
     :param running: number of requests being executed.
--- a/rhubarbhinge/forward/_searcher_reply.py
+++ b/rhubarbhinge/forward/_searcher_reply.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from rhubarbhinge.fleet import ToldLoad
+from rhubarbhinge.fleet import ReportedLoad
 
 
 class SearcherReply(Struct, frozen=True):
@@ -31,7 +31,7 @@
     wrong_searcher: bool
     keep_alive_ms: float | None
     encoded: bool = False
-    load: ToldLoad | None = None
+    load: ReportedLoad | None = None
     load_is_bad: bool = False
 
     @property
