--- a/rhubarbhinge/delegation/_delegates.py
+++ b/rhubarbhinge/delegation/_delegates.py
@@ -19,7 +19,7 @@
     Message,
     Taken,
 )
-from rhubarbhinge.fleet import DomainReach
+from rhubarbhinge.fleet import DomainReachability
 from rhubarbhinge.gather import FarNews, GrantAttempts
 from rhubarbhinge.members import Member, Membership
 from rhubarbhinge.net import CloseReason, FrameError, Links
@@ -106,7 +106,8 @@
     :param membership: which entries there are; told of those that answer.
     :param port: where all entries take asks.
     :param rng: spreads the choice.
-    :param reach: told which failure domains are heard from, and which entries can't be reached.
+    :param reachability: told which failure domains are heard from, and which entries can't be
+        reached.
     """
 
     channel = "delegates"
@@ -117,10 +118,10 @@
         membership: Membership,
         port: int,
         rng: random.Random,
-        reach: DomainReach,
+        reachability: DomainReachability,
     ):
         super().__init__()
-        self._reach = reach
+        self._reachability = reachability
         self._timers = timers
         self._membership = membership
         self._port = port
@@ -232,7 +233,7 @@
         found = self._by_link.get(link)
         if found is None:
             return
-        self._reach.on_heard(found.failure_domain)
+        self._reachability.on_heard(found.failure_domain)
         self._membership.on_work(found.failure_domain)
         try:
             for message in found.codec.feed(data):
@@ -291,7 +292,7 @@
             del self._by_ip[found.ip]
         self._bad(found.ip)
         if reason in SILENCES:
-            self._reach.on_unreachable(found.failure_domain, found.ip)
+            self._reachability.on_unreachable(found.failure_domain, found.ip)
         for number in [n for n, asking in self._asking.items() if asking.link == link]:
             self._fail(number, reason.value)
 
--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -9,7 +9,7 @@
 
 from rhubarbhinge.delegation import Answer, Ask, AskServer, Delegates
 from rhubarbhinge.delegation._delegates import TAKEN_MS
-from rhubarbhinge.fleet import Delays, DomainReach
+from rhubarbhinge.fleet import Delays, DomainReachability
 from rhubarbhinge.forward import CallContext, FailureReason, Lost
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
 from rhubarbhinge.gather import FarNews
@@ -61,10 +61,10 @@
             lambda: Published(at(0), -1.0),
         )
         self.membership.on_members([OTHER])
-        reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
-        return Delegates(self.timers, self.membership, port, random.Random(1), reach).register(
-            self.root
-        )
+        reachability = DomainReachability(self.timers.now_ms, lambda failure_domain: None)
+        return Delegates(
+            self.timers, self.membership, port, random.Random(1), reachability
+        ).register(self.root)
 
     def more(self, services: tuple[str, ...], news: FarNews) -> tuple[str, ...]:
         return self.leave(services)
--- a/rhubarbhinge/fleet/__init__.py
+++ b/rhubarbhinge/fleet/__init__.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.fleet._cold_rule import ColdRule
 from rhubarbhinge.fleet._cold_sends import ColdSends
 from rhubarbhinge.fleet._delays import Delays
-from rhubarbhinge.fleet._domain_reach import DomainReach
+from rhubarbhinge.fleet._domain_reachability import DomainReachability
 from rhubarbhinge.fleet._fleet import Fleet
 from rhubarbhinge.fleet._observed import ObservedSearcher
 from rhubarbhinge.fleet._reported_load import ReportedLoad
@@ -21,7 +21,7 @@
     "ColdSends",
     "CostFunction",
     "Delays",
-    "DomainReach",
+    "DomainReachability",
     "Fleet",
     "MaySend",
     "ObservedSearcher",
--- a/rhubarbhinge/fleet/_domain_reach.py
+++ b/rhubarbhinge/fleet/_domain_reachability.py
@@ -13,7 +13,7 @@
 searcher may pause."""
 
 
-class DomainReach:
+class DomainReachability:
     """Suspects a whole failure domain of being unreachable when several of its hosts are.
 
     Otherwise each searcher of the domain would have to be detected by a request of its own, which
--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -6,7 +6,7 @@
 
 from circuits import BaseComponent
 
-from rhubarbhinge.fleet import DomainReach, ObservedSearcher, SearcherStart
+from rhubarbhinge.fleet import DomainReachability, ObservedSearcher, SearcherStart
 from rhubarbhinge.forward._connections import Connection, SearcherConnections
 from rhubarbhinge.forward._dialect import Dialect
 from rhubarbhinge.forward._exchange import Attempt, Exchange
@@ -38,7 +38,7 @@
     :param dialect: encodes requests and decodes replies.
     :param max_connections: returns the maximum number of open connections to a searcher.
     :param on_wrong_searcher: called when another searcher replied at a searcher's address.
-    :param reach: notified of searchers that respond and of those that cannot be reached.
+    :param reachability: notified of searchers that respond and of those that cannot be reached.
     :ivar bad_loads: number of replies with an invalid reported load since startup.
     """
 
@@ -50,14 +50,14 @@
         dialect: Dialect,
         max_connections: Callable[[ObservedSearcher], int],
         on_wrong_searcher: Callable[[ObservedSearcher], None],
-        reach: DomainReach,
+        reachability: DomainReachability,
     ):
         super().__init__()
         self._timers = timers
         self._dialect = dialect
         self._max_connections = max_connections
         self._on_wrong_searcher = on_wrong_searcher
-        self._reach = reach
+        self._reachability = reachability
         self.bad_loads = 0
         self._numbers = itertools.count(1)
         self._by_link: dict[int, Connection] = {}
@@ -206,7 +206,7 @@
         self._connections(conn.searcher).opening -= 1
         conn.searcher.on_connected(now_ms)
         self._exit_checks.on_result(conn.searcher.start, ended=False)
-        self._reach.on_heard(conn.searcher.searcher.failure_domain)
+        self._reachability.on_heard(conn.searcher.searcher.failure_domain)
         if not conn.searcher.usable:
             self._close_unusable(conn)
         elif conn.pending is not None:
@@ -225,7 +225,7 @@
         conn = self._by_link.get(link)
         if conn is None:
             return
-        self._reach.on_heard(conn.searcher.searcher.failure_domain)
+        self._reachability.on_heard(conn.searcher.searcher.failure_domain)
         if conn.pending is None:
             self._drop(conn)
             return
@@ -370,7 +370,7 @@
                 code=code,
             )
         self._mark_down(conn.searcher, code, but=conn)
-        self._reach.on_unreachable(searcher.failure_domain, searcher.ip)
+        self._reachability.on_unreachable(searcher.failure_domain, searcher.ip)
 
     def _suspend(self, observed: ObservedSearcher, code: str) -> None:
         """Mark a searcher down and close its idle connections.
--- a/rhubarbhinge/forward/tests/test_pool.py
+++ b/rhubarbhinge/forward/tests/test_pool.py
@@ -6,7 +6,7 @@
 from circuits import BaseComponent
 from msgspec.structs import replace
 
-from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, Searcher
+from rhubarbhinge.fleet import Delays, DomainReachability, Fleet, ObservedSearcher, Searcher
 from rhubarbhinge.forward import (
     CallerRequest,
     ConnectionPool,
@@ -43,7 +43,7 @@
             PlainDialect(),
             lambda observed: self.most,
             self.fleet.mark_gone,
-            DomainReach(self.timers.now_ms, self.suspected.append),
+            DomainReachability(self.timers.now_ms, self.suspected.append),
         ).register(self.root)
         self.outcomes: dict[str, Outcome] = {}
         self.addCleanup(stop_tree, self.root)
--- a/rhubarbhinge/gateway/_domain_checks.py
+++ b/rhubarbhinge/gateway/_domain_checks.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from rhubarbhinge.fleet import DomainReach, Fleet, ObservedSearcher
+from rhubarbhinge.fleet import DomainReachability, Fleet, ObservedSearcher
 from rhubarbhinge.forward import ConnectionPool
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
@@ -28,7 +28,7 @@
     :param timers: the timer service.
     :param fleet: the searchers.
     :param pool: connections to them.
-    :param reach: which domains are heard from.
+    :param reachability: which domains are heard from.
     :param rng: draws the samples.
     :param on_change: told when searchers of a domain went down or came back together.
     """
@@ -38,14 +38,14 @@
         timers: TimerService,
         fleet: Fleet,
         pool: ConnectionPool,
-        reach: DomainReach,
+        reachability: DomainReachability,
         rng: random.Random,
         on_change: Callable[[], None],
     ):
         self._timers = timers
         self._fleet = fleet
         self._pool = pool
-        self._reach = reach
+        self._reachability = reachability
         self._rng = rng
         self._on_change = on_change
         self._checked: set[str] = set()
@@ -98,7 +98,7 @@
 
     def _conclude(self, failure_domain: str, since_ms: float) -> None:
         self._checked.discard(failure_domain)
-        if self._reach.heard_since(failure_domain, since_ms):
+        if self._reachability.heard_since(failure_domain, since_ms):
             return
         usable = self._usable(failure_domain)
         self._down[failure_domain] = set(usable)
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -8,7 +8,7 @@
 from circuits import Component, handler
 
 from rhubarbhinge.delegation import Ask, AskServer, Delegates, FarSends
-from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
+from rhubarbhinge.fleet import Delays, DomainReachability, Fleet, ObservedSearcher, expected_cost
 from rhubarbhinge.forward import CallContext, CallTerms, ConnectionPool, Dialect
 from rhubarbhinge.gateway._address import Address
 from rhubarbhinge.gateway._answer_lead import AnswerLead
@@ -91,19 +91,19 @@
         store_client = HttpClient(self.timers).register(self)
         peer_client = HttpClient(self.timers, takes_gzip=True).register(self)
         self._fleet = Fleet(self.timers.now_ms, self._searcher_left)
-        self._reach = DomainReach(
+        self._reachability = DomainReachability(
             self.timers.now_ms,
             lambda failure_domain: self._domain_checks.suspect(failure_domain),
             lambda failure_domain: self._domain_checks.heard(failure_domain),
         )
         self._pool = ConnectionPool(
-            self.timers, dialect, self._most_connections, self._fleet.mark_gone, self._reach
+            self.timers, dialect, self._most_connections, self._fleet.mark_gone, self._reachability
         ).register(self)
         self._domain_checks = DomainChecks(
             self.timers,
             self._fleet,
             self._pool,
-            self._reach,
+            self._reachability,
             self._rng,
             lambda: self._serving.check(),
         )
@@ -160,7 +160,7 @@
         self.timers.on_pause(lambda late_ms: self._cold_shares.on_pause())
         self._share = connection_shares(self._follower, membership, self._processes)
         delegates = Delegates(
-            self.timers, membership, settings.ask_port, self._rng, self._reach
+            self.timers, membership, settings.ask_port, self._rng, self._reachability
         ).register(self)
         prepare = delegates.prepare
         self.timers.every(LINKS_MS, lambda: prepare(settings.failure_domain))
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from rhubarbhinge.delegation import Ask, AskServer, Delegates, FarSends, _delegates, _serving
-from rhubarbhinge.fleet import Delays, DomainReach, Fleet, Searcher, expected_cost
+from rhubarbhinge.fleet import Delays, DomainReachability, Fleet, Searcher, expected_cost
 from rhubarbhinge.forward import (
     CallContext,
     CallerRequest,
@@ -174,12 +174,12 @@
         def links(*arguments: object, **more: object) -> SimulatedLinks:
             return SimulatedLinks(world.network, name, self.timers, *arguments, **more)
 
-        reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
+        reachability = DomainReachability(self.timers.now_ms, lambda failure_domain: None)
         with (
             mock.patch.object(_delegates, "Links", links),
             mock.patch.object(_serving, "Links", links),
         ):
-            self.delegates = Delegates(self.timers, NamedMembers(name), PORT, rng, reach)
+            self.delegates = Delegates(self.timers, NamedMembers(name), PORT, rng, reachability)
             self.asks = AskServer(
                 self.timers,
                 self.context,
--- a/rhubarbhinge/gateway/tests/test_domain_checks.py
+++ b/rhubarbhinge/gateway/tests/test_domain_checks.py
@@ -9,7 +9,7 @@
 import random
 import unittest
 
-from rhubarbhinge.fleet import DomainReach, Fleet, ObservedSearcher, Searcher
+from rhubarbhinge.fleet import DomainReachability, Fleet, ObservedSearcher, Searcher
 from rhubarbhinge.gateway._domain_checks import SAMPLE, VERIFY_MS, DomainChecks
 from rhubarbhinge.utils.fake_timers import FakeTimers
 
@@ -23,9 +23,9 @@
 class FakePool:
     """Notes the connections that are opened; those to searchers that can be reached succeed."""
 
-    def __init__(self, timers: FakeTimers, reach, is_dark):
+    def __init__(self, timers: FakeTimers, reachability, is_dark):
         self._timers = timers
-        self._reach = reach
+        self._reachability = reachability
         self._is_dark = is_dark
         self.opened: list[ObservedSearcher] = []
         self.aside: list[ObservedSearcher] = []
@@ -45,7 +45,7 @@
 
     def _connected(self, observed: ObservedSearcher) -> None:
         observed.on_connected(self._timers.now_ms())
-        self._reach.on_heard(observed.searcher.failure_domain)
+        self._reachability.on_heard(observed.searcher.failure_domain)
 
 
 class Entry:
@@ -59,14 +59,14 @@
             for place, domain in enumerate(DOMAINS):
                 name, ip = f"i-{shard}-{place}", f"10.{place}.0.{shard + 1}"
                 self.fleet.put(Searcher(name, f"shard-{shard}", ip, 80, domain, 2))
-        self.reach = DomainReach(
+        self.reachability = DomainReachability(
             timers.now_ms,
             lambda domain: self.checks.suspect(domain),
             lambda domain: self.checks.heard(domain),
         )
-        self.pool = FakePool(timers, self.reach, is_dark)
+        self.pool = FakePool(timers, self.reachability, is_dark)
         self.checks = DomainChecks(
-            timers, self.fleet, self.pool, self.reach, random.Random(seed), self._changed
+            timers, self.fleet, self.pool, self.reachability, random.Random(seed), self._changed
         )
 
     def _changed(self) -> None:
@@ -77,7 +77,7 @@
         for place in places:
             observed = self.of("hall-a")[place]
             observed.on_unreachable()
-            self.reach.on_unreachable("hall-a", observed.searcher.ip)
+            self.reachability.on_unreachable("hall-a", observed.searcher.ip)
 
     def of(self, domain: str) -> list[ObservedSearcher]:
         return [one for one in self.fleet.all() if one.searcher.failure_domain == domain]
@@ -127,7 +127,7 @@
         entry = self.entry(lambda observed: True)
         entry.fall_silent(0, 3)
         self.timers.advance(VERIFY_MS)
-        entry.reach.on_heard("hall-a")
+        entry.reachability.on_heard("hall-a")
         # The sample of the check was found out by its own connections.
         self.assertEqual(entry.down(), 2 + SAMPLE)
 
@@ -139,7 +139,7 @@
         moved = Searcher("i-8-0", "shard-8", "10.0.0.99", 80, "hall-a", 2)
         for one in (again, moved):
             entry.fleet.put(one)
-        entry.reach.on_heard("hall-a")
+        entry.reachability.on_heard("hall-a")
         up = {one.searcher.incarnation for one in entry.of("hall-a") if not one.is_down}
         self.assertTrue({"i-8-0", "i-9-0"} <= up)
 
