--- a/rhubarbhinge/members/_heartbeat.py
+++ b/rhubarbhinge/members/_heartbeat.py
@@ -8,7 +8,7 @@
 
 from rhubarbhinge.members._member import Member, MemberState
 from rhubarbhinge.members._members_codec import Claim
-from rhubarbhinge.quarantine import ToldSuspicion
+from rhubarbhinge.quarantine import SuspicionMessage
 from rhubarbhinge.utils.bounded_types import AgeMs, Count, Milliseconds, Name
 from rhubarbhinge.utils.revision import Revision
 from rhubarbhinge.utils.strict_json import json_reader
@@ -65,7 +65,7 @@
     members_digest: int
     heard_ms: Mapping[str, float] = field(default_factory=dict)
     updates: tuple[Member, ...] = ()
-    suspicions: tuple[ToldSuspicion, ...] = ()
+    suspicions: tuple[SuspicionMessage, ...] = ()
     plan_version: int = 0
 
     def sender(self, ip: str) -> Member:
@@ -95,7 +95,7 @@
     members_digest: Count
     heard_ms: Annotated[dict[Name, Milliseconds], msgspec.Meta(max_length=MOST_DOMAINS)]
     updates: Annotated[list[Claim], msgspec.Meta(max_length=MOST_UPDATES)]
-    suspicions: Annotated[list[ToldSuspicion], msgspec.Meta(max_length=MOST_SUSPICIONS)] = []
+    suspicions: Annotated[list[SuspicionMessage], msgspec.Meta(max_length=MOST_SUSPICIONS)] = []
     era: Count = 0
     plan_version: Count = 0
 
--- a/rhubarbhinge/peers/_quarantine_news.py
+++ b/rhubarbhinge/peers/_quarantine_news.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from rhubarbhinge.members import Membership
-from rhubarbhinge.quarantine import Quarantine, ToldSuspicion
+from rhubarbhinge.quarantine import Quarantine, SuspicionMessage
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils import rendezvous
 
@@ -55,21 +55,23 @@
             self._due = True
             self._timers.after(wait_ms, self._spread)
 
-    def carried(self) -> tuple[ToldSuspicion, ...]:
+    def carried(self) -> tuple[SuspicionMessage, ...]:
         """Give what a heartbeat carries; part of it is drawn anew for each receiver.
 
         :returns: the suspicions.
         """
         now_ms = self._timers.now_ms()
-        return tuple(ToldSuspicion.of(known, now_ms) for known in self._quarantine.told())
+        return tuple(
+            SuspicionMessage.from_suspicion(known, now_ms) for known in self._quarantine.told()
+        )
 
-    def take(self, told: Iterable[ToldSuspicion]) -> None:
+    def take(self, told: Iterable[SuspicionMessage]) -> None:
         """Take what a heartbeat carried, and pass on what was new of it.
 
         :param told: the suspicions.
         """
         now_ms = self._timers.now_ms()
-        if self._quarantine.take([one.suspicion(now_ms) for one in told]):
+        if self._quarantine.take([one.to_suspicion(now_ms) for one in told]):
             self.tell()
 
     def may_try(self, fingerprint: str) -> bool:
--- a/rhubarbhinge/peers/tests/test_pulling.py
+++ b/rhubarbhinge/peers/tests/test_pulling.py
@@ -15,7 +15,7 @@
 )
 from rhubarbhinge.peers import Peers, encode_state
 from rhubarbhinge.published import ChangeLog, Snapshot
-from rhubarbhinge.quarantine import Quarantine, Quarantined, ToldSuspicion
+from rhubarbhinge.quarantine import Quarantine, Quarantined, SuspicionMessage
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.revision import Revision
 from rhubarbhinge.utils.testing import run_until, stop_tree
@@ -163,7 +163,7 @@
         self.assertEqual(self.client.asked, ["127.0.0.3"])
 
     def test_what_a_heartbeat_carries_is_taken_and_passed_on_once(self):
-        told = ToldSuspicion("f" * 32, "search", 1, False, [1, 2, 3], 5.0)
+        told = SuspicionMessage("f" * 32, "search", 1, False, [1, 2, 3], 5.0)
         sent: list[tuple[str, bytes]] = []
         self.peers._datagrams.send = lambda ip, port, data: sent.append((ip, data))
         self.hear()
--- a/rhubarbhinge/quarantine/__init__.py
+++ b/rhubarbhinge/quarantine/__init__.py
@@ -3,7 +3,7 @@
 from rhubarbhinge.quarantine._quarantine import Quarantine
 from rhubarbhinge.quarantine._request_watch import RequestWatch
 from rhubarbhinge.quarantine._suspicion import Suspicion
-from rhubarbhinge.quarantine._told_suspicion import ToldSuspicion
+from rhubarbhinge.quarantine._suspicion_message import SuspicionMessage
 from rhubarbhinge.quarantine._verdict import ALLOWED, ONE_FIRST, Quarantined, Verdict
 
 __all__ = [
@@ -13,6 +13,6 @@
     "Quarantined",
     "RequestWatch",
     "Suspicion",
-    "ToldSuspicion",
+    "SuspicionMessage",
     "Verdict",
 ]
--- a/rhubarbhinge/quarantine/_told_suspicion.py
+++ b/rhubarbhinge/quarantine/_suspicion_message.py
@@ -12,7 +12,7 @@
 MAX_MARK = (1 << 32) - 1
 
 
-class ToldSuspicion(msgspec.Struct, frozen=True, array_like=True):
+class SuspicionMessage(msgspec.Struct, frozen=True, array_like=True):
     """Wire format of a :class:`Suspicion`: fields in this order, with its age instead of its time.
 
     Later releases may append fields.
@@ -29,7 +29,7 @@
     age_ms: Milliseconds
 
     @classmethod
-    def of(cls, known: Suspicion, now_ms: float) -> "ToldSuspicion":
+    def from_suspicion(cls, known: Suspicion, now_ms: float) -> "SuspicionMessage":
         """Convert a suspicion to its wire format.
 
         :param known: the suspicion.
@@ -45,7 +45,7 @@
             round(max(0.0, now_ms - known.since_ms)),
         )
 
-    def suspicion(self, now_ms: float) -> Suspicion:
+    def to_suspicion(self, now_ms: float) -> Suspicion:
         """Convert back to a suspicion.
 
         :param now_ms: current time.
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -17,7 +17,7 @@
     Quarantine,
     Quarantined,
     Suspicion,
-    ToldSuspicion,
+    SuspicionMessage,
 )
 from rhubarbhinge.quarantine._quarantine import (
     ANY_ENTRY_TRIAL_PERIODS,
@@ -62,11 +62,11 @@
     def tell(self, transit_ms: float = 2.0) -> None:
         """Send the suspicions of each entry to all others."""
         for name, sender in self.entries.items():
-            told = [ToldSuspicion.of(known, self.now_ms) for known in sender.told()]
+            told = [SuspicionMessage.from_suspicion(known, self.now_ms) for known in sender.told()]
             self.now_ms += transit_ms
             for other, receiver in self.entries.items():
                 if other != name:
-                    receiver.take([one.suspicion(self.now_ms) for one in told])
+                    receiver.take([one.to_suspicion(self.now_ms) for one in told])
 
 
 class QuarantineTest(unittest.TestCase):
@@ -258,7 +258,9 @@
         self.assertEqual(self.first.convicted, MAX_SUSPICIONS)
         told = self.first.told()
         self.assertEqual(len(told), 2 * NEWEST_SENT)
-        sent = msgspec.json.encode([ToldSuspicion.of(one, self.fleet.now_ms) for one in told])
+        sent = msgspec.json.encode(
+            [SuspicionMessage.from_suspicion(one, self.fleet.now_ms) for one in told]
+        )
         # Three heartbeats per second must leave half of the 5 KB/s for the rest of the control
         # traffic.
         self.assertLess(3 * len(sent), 2_560)
@@ -269,8 +271,10 @@
             self.fleet.now_ms += 2.0 * INITIAL_QUARANTINE_MS * QUARANTINE_GROWTH_FACTOR**number
             self.first.verdict(FATAL, ROUTE)
             self.simulate_request(self.first, FATAL, 1_000 + number, trial=True)
-            told = [ToldSuspicion.of(one, self.fleet.now_ms) for one in self.first.told()]
-            read = json_reader(list[ToldSuspicion])
+            told = [
+                SuspicionMessage.from_suspicion(one, self.fleet.now_ms) for one in self.first.told()
+            ]
+            read = json_reader(list[SuspicionMessage])
             self.assertEqual(read(msgspec.json.encode(told)), told)
 
     def test_suspicions_do_not_become_younger_in_transit(self):
@@ -313,7 +317,7 @@
     @settings(deadline=None, derandomize=True, database=None)
     @given(st.binary(max_size=200))
     def test_arbitrary_bytes_are_decoded_or_rejected(self, data):
-        read = json_reader(list[ToldSuspicion])
+        read = json_reader(list[SuspicionMessage])
         try:
             read(data)
         except ValueError:
