--- a/rhubarbhinge/gateway/_figures.py
+++ b/rhubarbhinge/gateway/_figures.py
@@ -96,7 +96,7 @@
         metrics.show(STORE_ERA, self._follower.revision.era)
         metrics.show(UNUSABLE, len(self._follower.unusable))
         metrics.show(UNUSABLE_FOUND, self._follower.unusable.found)
-        metrics.show(QUARANTINED, self._quarantine.convicted)
+        metrics.show(QUARANTINED, self._quarantine.quarantined_count)
         metrics.show(QUARANTINE_REFUSED, self._quarantine.refused)
         for kind, total in self._link_use.totals().items():
             metrics.show(LINK_BYTES[kind], total)
--- a/rhubarbhinge/gateway/tests/test_fatal_requests.py
+++ b/rhubarbhinge/gateway/tests/test_fatal_requests.py
@@ -46,8 +46,10 @@
         worlds = [self.play(seed) for seed in range(12)]
         for world in worlds:
             for entry in world.entries.values():
-                convicted = {one.fingerprint for one in entry.quarantine.told() if one.convicts}
-                self.assertLessEqual(convicted, {FATAL})
+                quarantined = {
+                    one.fingerprint for one in entry.quarantine.told() if one.quarantined
+                }
+                self.assertLessEqual(quarantined, {FATAL})
         self.assertTrue(any(len(world.searchers.ends_ms) >= 10 for world in worlds))
         self.assertTrue(any(world.troubles.pause for world in worlds))
         self.assertTrue(any(world.datagram_loss for world in worlds))
--- a/rhubarbhinge/quarantine/_quarantine.py
+++ b/rhubarbhinge/quarantine/_quarantine.py
@@ -78,9 +78,9 @@
         self.refused = 0
 
     @property
-    def convicted(self) -> int:
+    def quarantined_count(self) -> int:
         """Number of requests that are currently refused or limited to trials."""
-        return sum(known.convicts for known in self._known.values())
+        return sum(known.quarantined for known in self._known.values())
 
     def verdict(self, fingerprint: str, route: str, spreads: bool = True) -> Verdict:
         """Decide whether a request may be sent.
@@ -182,7 +182,7 @@
         known = self._current(fingerprint, now_ms)
         round_, found = 1, limit_marks(marks)
         if known is not None:
-            failed_trial = known.convicts and now_ms - known.since_ms >= _quarantine_ms(known.round)
+            failed_trial = known.quarantined and now_ms - known.since_ms >= _period_ms(known.round)
             round_ = known.round + (known.cleared or failed_trial)
             if failed_trial:
                 found = limit_marks(found | known.marks)
@@ -192,14 +192,14 @@
 
     def _merge(self, update: Suspicion, source: str) -> None:
         known = self._known.get(update.fingerprint)
-        joined = update if known is None else known.joined(update)
-        if joined == known:
+        merged = update if known is None else known.merged_with(update)
+        if merged == known:
             return
         self._evict_oldest(update.fingerprint)
-        self._known[update.fingerprint] = joined
-        if _differs(known, joined):
-            _log(joined, source)
-        if joined.convicts:
+        self._known[update.fingerprint] = merged
+        if _differs(known, merged):
+            _log(merged, source)
+        if merged.quarantined:
             for watch in list(self._watches.get(update.fingerprint, ())):
                 if not watch.is_trial:
                     watch.stop()
@@ -209,9 +209,9 @@
         trial_until_ms = self._trial_until_ms.get(known.fingerprint, 0.0)
         if now_ms < trial_until_ms:
             return TRIAL_PAUSE_MS
-        if not known.convicts:
+        if not known.quarantined:
             return 0.0
-        quarantine_ms = _quarantine_ms(known.round)
+        quarantine_ms = _period_ms(known.round)
         age_ms = now_ms - known.since_ms
         if age_ms < quarantine_ms:
             return quarantine_ms - age_ms
@@ -226,7 +226,7 @@
         recent = Counter(
             known.route
             for known in self._known.values()
-            if known.convicts and now_ms - known.since_ms < CAUTION_WINDOW_MS
+            if known.quarantined and now_ms - known.since_ms < CAUTION_WINDOW_MS
         )
         return recent[route] >= CAUTION_REQUESTS
 
@@ -245,7 +245,7 @@
     def _evict_oldest(self, fingerprint: str) -> None:
         if fingerprint in self._known or len(self._known) < MAX_SUSPICIONS:
             return
-        oldest = min(self._known.values(), key=lambda one: (one.convicts, one.since_ms))
+        oldest = min(self._known.values(), key=lambda one: (one.quarantined, one.since_ms))
         self._drop(oldest.fingerprint)
 
     def _drop(self, fingerprint: str) -> None:
@@ -261,7 +261,7 @@
             self._trial_until_ms.pop(fingerprint, None)
 
 
-def _quarantine_ms(round_: int) -> float:
+def _period_ms(round_: int) -> float:
     return min(
         MAX_QUARANTINE_MS, INITIAL_QUARANTINE_MS * QUARANTINE_GROWTH_FACTOR ** min(round_ - 1, 10)
     )
@@ -272,7 +272,7 @@
     # meantime could reintroduce the quarantine.
     if not known.cleared and len(known.marks) < ENDS_TO_QUARANTINE:
         return SUSPICION_TTL_MS
-    return EXPIRY_PERIODS * _quarantine_ms(known.round)
+    return EXPIRY_PERIODS * _period_ms(known.round)
 
 
 def _is_urgent(known: Suspicion | None) -> bool:
@@ -301,7 +301,7 @@
             route=known.route,
             ended=len(known.marks),
             round=known.round,
-            quarantined=known.convicts,
+            quarantined=known.quarantined,
             source=source,
         )
 
--- a/rhubarbhinge/quarantine/_suspicion.py
+++ b/rhubarbhinge/quarantine/_suspicion.py
@@ -45,11 +45,11 @@
     since_ms: float
 
     @property
-    def convicts(self) -> bool:
+    def quarantined(self) -> bool:
         """Whether enough searchers have crashed during the request."""
         return not self.cleared and len(self.marks) >= ENDS_TO_QUARANTINE
 
-    def joined(self, other: "Suspicion") -> "Suspicion":
+    def merged_with(self, other: "Suspicion") -> "Suspicion":
         """Merge with another suspicion of the same request.
 
         :param other: the other suspicion.
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -93,7 +93,7 @@
         watch.close()
         return bool(stopped)
 
-    def convict(self, entry: Quarantine, fingerprint: str = FATAL) -> None:
+    def quarantine(self, entry: Quarantine, fingerprint: str = FATAL) -> None:
         self.assertTrue(self.simulate_request(entry, fingerprint, 1, 2, 3))
 
     def verdicts(self, fingerprint: str = FATAL) -> list[object]:
@@ -105,7 +105,7 @@
 
     def test_a_request_that_crashed_its_searchers_is_refused_at_all_entries(self):
         self.assertEqual(self.verdicts(), [ALLOWED] * 3)
-        self.convict(self.first)
+        self.quarantine(self.first)
         self.assertEqual(self.fleet.urgent_updates, 1)
         self.fleet.tell()
         for verdict in self.verdicts():
@@ -142,12 +142,12 @@
         stopped = []
         self.second.watch(FATAL, ROUTE, False, lambda: stopped.append("fatal"))
         self.second.watch(GOOD, ROUTE, False, lambda: stopped.append("good"))
-        self.convict(self.first)
+        self.quarantine(self.first)
         self.fleet.tell()
         self.assertEqual(stopped, ["fatal"])
 
     def test_at_most_three_trials_in_half_an_hour_and_one_at_a_time(self):
-        self.convict(self.first)
+        self.quarantine(self.first)
         self.fleet.tell()
         trials = 0
         for _ in range(30 * 60):
@@ -161,7 +161,7 @@
         self.assertTrue(1 <= trials <= MAX_TRIALS, trials)
 
     def test_a_successful_trial_clears_the_request_at_all_entries(self):
-        self.convict(self.first)
+        self.quarantine(self.first)
         self.fleet.tell()
         self.fleet.now_ms += INITIAL_QUARANTINE_MS
         self.assertEqual(self.first.verdict(FATAL, ROUTE), ONE_FIRST)
@@ -174,7 +174,7 @@
         self.assertEqual(self.verdicts(), [ALLOWED] * 3)
 
     def test_a_disconnected_entry_does_not_reintroduce_a_quarantine(self):
-        self.convict(self.first)
+        self.quarantine(self.first)
         self.fleet.tell()
         cut_off = self.fleet.entries.pop("vm-3")
         self.fleet.now_ms += INITIAL_QUARANTINE_MS
@@ -195,19 +195,19 @@
     def test_a_cleared_request_can_be_quarantined_again(self):
         self.test_a_successful_trial_clears_the_request_at_all_entries()
         self.fleet.now_ms += 2 * RECENT_REPLY_MS
-        self.convict(self.second)
+        self.quarantine(self.second)
         self.fleet.tell()
         for verdict in self.verdicts():
             self.assert_refused(verdict)
 
     def test_any_entry_may_start_a_trial_after_a_longer_time(self):
-        self.convict(self.first)
+        self.quarantine(self.first)
         self.fleet.tell()
         self.fleet.now_ms += ANY_ENTRY_TRIAL_PERIODS * INITIAL_QUARANTINE_MS + 10.0
         self.assertEqual(self.third.verdict(FATAL, ROUTE), ONE_FIRST)
 
     def test_each_failed_trial_extends_the_quarantine(self):
-        self.convict(self.first)
+        self.quarantine(self.first)
         quarantine_ms = INITIAL_QUARANTINE_MS
         for mark in range(3):
             self.assertAlmostEqual(self.first.verdict(FATAL, ROUTE).retry_after_ms, quarantine_ms)
@@ -217,7 +217,7 @@
             quarantine_ms *= QUARANTINE_GROWTH_FACTOR
 
     def test_suspicions_expire(self):
-        self.convict(self.first)
+        self.quarantine(self.first)
         self.simulate_request(self.first, GOOD, 8)
         self.fleet.now_ms += SUSPICION_TTL_MS + 1.0
         self.assertEqual(len(self.first.told()), 1)
@@ -234,7 +234,7 @@
     def test_many_new_quarantined_requests_make_their_route_cautious(self):
         for number in range(CAUTION_REQUESTS):
             self.assertEqual(self.first.verdict(GOOD, ROUTE), ALLOWED)
-            self.convict(self.first, f"{number:032x}")
+            self.quarantine(self.first, f"{number:032x}")
         self.fleet.tell()
         self.assertEqual(self.verdicts("a" * 32), [ONE_FIRST] * 3)
         self.assertEqual(self.second.verdict("a" * 32, "other"), ALLOWED)
@@ -244,7 +244,7 @@
 
     def test_caution_lasts_while_new_requests_crash_searchers(self):
         for number in range(CAUTION_REQUESTS):
-            self.convict(self.first, f"{number:032x}")
+            self.quarantine(self.first, f"{number:032x}")
         for number in range(20):
             self.fleet.now_ms += 0.9 * CAUTION_WINDOW_MS
             fingerprint = f"{100 + number:032x}"
@@ -253,9 +253,9 @@
 
     def test_stored_and_sent_suspicions_are_bounded(self):
         for number in range(2 * MAX_SUSPICIONS):
-            self.convict(self.first, f"{number:032x}")
+            self.quarantine(self.first, f"{number:032x}")
             self.fleet.now_ms += 10.0
-        self.assertEqual(self.first.convicted, MAX_SUSPICIONS)
+        self.assertEqual(self.first.quarantined_count, MAX_SUSPICIONS)
         told = self.first.told()
         self.assertEqual(len(told), 2 * NEWEST_SENT)
         sent = msgspec.json.encode(
@@ -278,7 +278,7 @@
             self.assertEqual(read(msgspec.json.encode(told)), told)
 
     def test_suspicions_do_not_become_younger_in_transit(self):
-        self.convict(self.first)
+        self.quarantine(self.first)
         for _ in range(500):
             self.fleet.tell(transit_ms=100.0)
         ages = [
@@ -302,17 +302,17 @@
     @settings(deadline=None, derandomize=True, database=None)
     @given(st.lists(SUSPICIONS, min_size=1, max_size=5), st.randoms(use_true_random=False))
     def test_merging_does_not_depend_on_order_or_repetition(self, updates, rng):
-        def joined(ordered: list[Suspicion]) -> tuple:
+        def merged(ordered: list[Suspicion]) -> tuple:
             result = ordered[0]
             for update in ordered[1:]:
-                result = result.joined(update)
+                result = result.merged_with(update)
             return result.round, result.cleared, result.marks
 
         again = updates + rng.choices(updates, k=3)
         rng.shuffle(again)
         if not any(update.cleared for update in updates):
-            self.assertEqual(joined(again), joined(updates))
-        self.assertEqual(joined(again)[:2], joined(updates)[:2])
+            self.assertEqual(merged(again), merged(updates))
+        self.assertEqual(merged(again)[:2], merged(updates)[:2])
 
     @settings(deadline=None, derandomize=True, database=None)
     @given(st.binary(max_size=200))
