--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -86,13 +86,13 @@
             return
         self._recent.add(route.name)
         handling = Handling(self._parts, asked, plan, route, responder, request.transit_ms)
-        verdict = self._parts.quarantine.verdict(
+        decision = self._parts.quarantine.decide(
             asked.fingerprint, route.name, spreads=route.shards is not None
         )
-        if isinstance(verdict, Quarantined):
-            handling.refuse(verdict)
+        if isinstance(decision, Quarantined):
+            handling.refuse(decision)
             return
-        handling.watch(verdict == ONE_FIRST)
+        handling.watch(decision == ONE_FIRST)
         if route.shards is not None:
             handling.gather(self.delays_of(route.name, route.target_latency_ms))
         else:
--- a/rhubarbhinge/gateway/_handling.py
+++ b/rhubarbhinge/gateway/_handling.py
@@ -84,13 +84,13 @@
         self._cancel: Callable[[], None] | None = None
         self._watch: RequestWatch | None = None
 
-    def refuse(self, verdict: Quarantined) -> None:
+    def refuse(self, decision: Quarantined) -> None:
         """Refuse the request, as it ends the searchers that execute it.
 
-        :param verdict: what is known of it.
+        :param decision: what is known of it.
         """
         message = "Searchers end that execute this request."
-        answer = refused("quarantined", message, verdict.retry_after_ms)
+        answer = refused("quarantined", message, decision.retry_after_ms)
         self._answer(answer, "quarantined")
 
     def watch(self, one_first: bool) -> None:
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -146,8 +146,8 @@
     def take(self, request_id: str, fatal: bool, on_end) -> None:
         """Take a caller's request, as the gateway does."""
         fingerprint = FATAL if fatal else request_id
-        verdict = self.quarantine.verdict(fingerprint, "route")
-        if isinstance(verdict, Quarantined):
+        decision = self.quarantine.decide(fingerprint, "route")
+        if isinstance(decision, Quarantined):
             on_end(None)
             return
         over = []
@@ -161,7 +161,7 @@
             gathering.cancel()
             ended(NotEnough((), True))
 
-        watch = self.quarantine.watch(fingerprint, "route", verdict == ONE_FIRST, stopped)
+        watch = self.quarantine.watch(fingerprint, "route", decision == ONE_FIRST, stopped)
         gathering = self._gathering(request_id, fatal, watch, ended)
         gathering.start()
         self.timers.after(WAIT_MS, lambda: over or gathering.time_out())
--- a/rhubarbhinge/peers/tests/test_pulling.py
+++ b/rhubarbhinge/peers/tests/test_pulling.py
@@ -170,7 +170,7 @@
         self.assertEqual(decode_heartbeat(encode_heartbeat(BEAT)).suspicions, ())
         del sent[:]
         self.hear(suspicions=(told,))
-        self.assertIsInstance(self.quarantine.verdict("f" * 32, "search"), Quarantined)
+        self.assertIsInstance(self.quarantine.decide("f" * 32, "search"), Quarantined)
         self.assertTrue(sent)
         self.assertEqual(decode_heartbeat(sent[0][1]).suspicions[0].marks, [1, 2, 3])
         del sent[:]
--- a/rhubarbhinge/quarantine/_verdict.py
+++ b/rhubarbhinge/quarantine/_decision.py
@@ -21,4 +21,4 @@
     retry_after_ms: float
 
 
-Verdict = Literal["allowed", "one-first"] | Quarantined
+Decision = Literal["allowed", "one-first"] | Quarantined
--- a/rhubarbhinge/quarantine/_quarantine.py
+++ b/rhubarbhinge/quarantine/_quarantine.py
@@ -4,10 +4,10 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable, Collection, Sequence
 
+from rhubarbhinge.quarantine._decision import ALLOWED, ONE_FIRST, Decision, Quarantined
 from rhubarbhinge.quarantine._recent_replies import RecentReplies
 from rhubarbhinge.quarantine._request_watch import RequestWatch
 from rhubarbhinge.quarantine._suspicion import ENDS_TO_QUARANTINE, Suspicion, limit_marks
-from rhubarbhinge.quarantine._verdict import ALLOWED, ONE_FIRST, Quarantined, Verdict
 from rhubarbhinge.telemetry import log_event
 
 INITIAL_QUARANTINE_MS = 60_000.0
@@ -82,7 +82,7 @@
         """Number of requests that are currently refused or limited to trials."""
         return sum(known.quarantined for known in self._known.values())
 
-    def verdict(self, fingerprint: str, route: str, spreads: bool = True) -> Verdict:
+    def decide(self, fingerprint: str, route: str, spreads: bool = True) -> Decision:
         """Decide whether a request may be sent.
 
         :param fingerprint: fingerprint of the request.
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -96,32 +96,32 @@
     def quarantine(self, entry: Quarantine, fingerprint: str = FATAL) -> None:
         self.assertTrue(self.simulate_request(entry, fingerprint, 1, 2, 3))
 
-    def verdicts(self, fingerprint: str = FATAL) -> list[object]:
-        return [entry.verdict(fingerprint, ROUTE) for entry in self.fleet.entries.values()]
+    def decisions(self, fingerprint: str = FATAL) -> list[object]:
+        return [entry.decide(fingerprint, ROUTE) for entry in self.fleet.entries.values()]
 
-    def assert_refused(self, verdict: object) -> None:
-        self.assertIsInstance(verdict, Quarantined)
-        self.assertGreater(verdict.retry_after_ms, 0.0)
+    def assert_refused(self, decision: object) -> None:
+        self.assertIsInstance(decision, Quarantined)
+        self.assertGreater(decision.retry_after_ms, 0.0)
 
     def test_a_request_that_crashed_its_searchers_is_refused_at_all_entries(self):
-        self.assertEqual(self.verdicts(), [ALLOWED] * 3)
+        self.assertEqual(self.decisions(), [ALLOWED] * 3)
         self.quarantine(self.first)
         self.assertEqual(self.fleet.urgent_updates, 1)
         self.fleet.tell()
-        for verdict in self.verdicts():
-            self.assert_refused(verdict)
-            self.assertLessEqual(verdict.retry_after_ms, INITIAL_QUARANTINE_MS)
-        self.assertEqual(self.verdicts(GOOD), [ALLOWED] * 3)
+        for decision in self.decisions():
+            self.assert_refused(decision)
+            self.assertLessEqual(decision.retry_after_ms, INITIAL_QUARANTINE_MS)
+        self.assertEqual(self.decisions(GOOD), [ALLOWED] * 3)
 
     def test_crashes_seen_by_different_entries_accumulate(self):
         self.simulate_request(self.first, FATAL, 1)
         self.simulate_request(self.second, FATAL, 2)
         self.fleet.tell()
-        self.assertEqual(self.third.verdict(FATAL, ROUTE), ONE_FIRST)
+        self.assertEqual(self.third.decide(FATAL, ROUTE), ONE_FIRST)
         self.assertTrue(self.simulate_request(self.third, FATAL, 3, trial=True))
         self.fleet.tell()
-        for verdict in self.verdicts():
-            self.assert_refused(verdict)
+        for decision in self.decisions():
+            self.assert_refused(decision)
 
     def test_a_single_crash_is_not_announced(self):
         self.simulate_request(self.first, FATAL, 1)
@@ -136,7 +136,7 @@
         for entry in (self.first, self.second):
             self.simulate_request(entry, FATAL, 1, 2)
         self.fleet.tell()
-        self.assertEqual(self.first.verdict(FATAL, ROUTE), ONE_FIRST)
+        self.assertEqual(self.first.decide(FATAL, ROUTE), ONE_FIRST)
 
     def test_a_quarantine_stops_requests_in_progress_at_other_entries(self):
         stopped = []
@@ -153,9 +153,9 @@
         for _ in range(30 * 60):
             self.fleet.now_ms += 1_000.0
             for entry in self.fleet.entries.values():
-                if entry.verdict(FATAL, ROUTE) == ONE_FIRST:
+                if entry.decide(FATAL, ROUTE) == ONE_FIRST:
                     trials += 1
-                    self.assert_refused(entry.verdict(FATAL, ROUTE))
+                    self.assert_refused(entry.decide(FATAL, ROUTE))
                     self.simulate_request(entry, FATAL, trials + 10, trial=True)
             self.fleet.tell(0.0)
         self.assertTrue(1 <= trials <= MAX_TRIALS, trials)
@@ -164,55 +164,55 @@
         self.quarantine(self.first)
         self.fleet.tell()
         self.fleet.now_ms += INITIAL_QUARANTINE_MS
-        self.assertEqual(self.first.verdict(FATAL, ROUTE), ONE_FIRST)
+        self.assertEqual(self.first.decide(FATAL, ROUTE), ONE_FIRST)
         for entry in (self.second, self.third):
-            self.assert_refused(entry.verdict(FATAL, ROUTE))
+            self.assert_refused(entry.decide(FATAL, ROUTE))
         watch = self.first.watch(FATAL, ROUTE, True, lambda: None)
         watch.claim("s0", 1, lambda: None)
         watch.on_replied("s0")
         self.fleet.tell()
-        self.assertEqual(self.verdicts(), [ALLOWED] * 3)
+        self.assertEqual(self.decisions(), [ALLOWED] * 3)
 
     def test_a_disconnected_entry_does_not_reintroduce_a_quarantine(self):
         self.quarantine(self.first)
         self.fleet.tell()
         cut_off = self.fleet.entries.pop("vm-3")
         self.fleet.now_ms += INITIAL_QUARANTINE_MS
-        self.first.verdict(FATAL, ROUTE)
+        self.first.decide(FATAL, ROUTE)
         watch = self.first.watch(FATAL, ROUTE, True, lambda: None)
         watch.on_replied("s0")
         self.fleet.tell()
         while cut_off.told():
             self.fleet.now_ms += 10_000.0
             self.first.take(cut_off.told())
-            self.assertEqual(self.first.verdict(FATAL, ROUTE), ALLOWED)
+            self.assertEqual(self.first.decide(FATAL, ROUTE), ALLOWED)
             self.fleet.tell(0.0)
 
     def test_requests_without_fingerprint_are_not_suspected(self):
         self.assertTrue(self.simulate_request(self.first, "", 1, 2, 3))
-        self.assertEqual(self.first.verdict("", ROUTE), ALLOWED)
+        self.assertEqual(self.first.decide("", ROUTE), ALLOWED)
 
     def test_a_cleared_request_can_be_quarantined_again(self):
         self.test_a_successful_trial_clears_the_request_at_all_entries()
         self.fleet.now_ms += 2 * RECENT_REPLY_MS
         self.quarantine(self.second)
         self.fleet.tell()
-        for verdict in self.verdicts():
-            self.assert_refused(verdict)
+        for decision in self.decisions():
+            self.assert_refused(decision)
 
     def test_any_entry_may_start_a_trial_after_a_longer_time(self):
         self.quarantine(self.first)
         self.fleet.tell()
         self.fleet.now_ms += ANY_ENTRY_TRIAL_PERIODS * INITIAL_QUARANTINE_MS + 10.0
-        self.assertEqual(self.third.verdict(FATAL, ROUTE), ONE_FIRST)
+        self.assertEqual(self.third.decide(FATAL, ROUTE), ONE_FIRST)
 
     def test_each_failed_trial_extends_the_quarantine(self):
         self.quarantine(self.first)
         quarantine_ms = INITIAL_QUARANTINE_MS
         for mark in range(3):
-            self.assertAlmostEqual(self.first.verdict(FATAL, ROUTE).retry_after_ms, quarantine_ms)
+            self.assertAlmostEqual(self.first.decide(FATAL, ROUTE).retry_after_ms, quarantine_ms)
             self.fleet.now_ms += quarantine_ms
-            self.assertEqual(self.first.verdict(FATAL, ROUTE), ONE_FIRST)
+            self.assertEqual(self.first.decide(FATAL, ROUTE), ONE_FIRST)
             self.simulate_request(self.first, FATAL, 50 + mark, trial=True)
             quarantine_ms *= QUARANTINE_GROWTH_FACTOR
 
@@ -229,18 +229,18 @@
         watch.on_replied("s0")
         watch.close()
         self.simulate_request(self.first, GOOD, 1, 2, 3)
-        self.assertEqual(self.first.verdict(GOOD, ROUTE), ALLOWED)
+        self.assertEqual(self.first.decide(GOOD, ROUTE), ALLOWED)
 
     def test_many_new_quarantined_requests_make_their_route_cautious(self):
         for number in range(CAUTION_REQUESTS):
-            self.assertEqual(self.first.verdict(GOOD, ROUTE), ALLOWED)
+            self.assertEqual(self.first.decide(GOOD, ROUTE), ALLOWED)
             self.quarantine(self.first, f"{number:032x}")
         self.fleet.tell()
-        self.assertEqual(self.verdicts("a" * 32), [ONE_FIRST] * 3)
-        self.assertEqual(self.second.verdict("a" * 32, "other"), ALLOWED)
-        self.assertEqual(self.second.verdict("a" * 32, ROUTE, spreads=False), ALLOWED)
+        self.assertEqual(self.decisions("a" * 32), [ONE_FIRST] * 3)
+        self.assertEqual(self.second.decide("a" * 32, "other"), ALLOWED)
+        self.assertEqual(self.second.decide("a" * 32, ROUTE, spreads=False), ALLOWED)
         self.fleet.now_ms += CAUTION_WINDOW_MS
-        self.assertEqual(self.verdicts("a" * 32), [ALLOWED] * 3)
+        self.assertEqual(self.decisions("a" * 32), [ALLOWED] * 3)
 
     def test_caution_lasts_while_new_requests_crash_searchers(self):
         for number in range(CAUTION_REQUESTS):
@@ -248,7 +248,7 @@
         for number in range(20):
             self.fleet.now_ms += 0.9 * CAUTION_WINDOW_MS
             fingerprint = f"{100 + number:032x}"
-            self.assertEqual(self.first.verdict(fingerprint, ROUTE), ONE_FIRST)
+            self.assertEqual(self.first.decide(fingerprint, ROUTE), ONE_FIRST)
             self.simulate_request(self.first, fingerprint, number, trial=True)
 
     def test_stored_and_sent_suspicions_are_bounded(self):
@@ -269,7 +269,7 @@
         self.assertTrue(self.simulate_request(self.first, FATAL, *range(1, 12)))
         for number in range(5):
             self.fleet.now_ms += 2.0 * INITIAL_QUARANTINE_MS * QUARANTINE_GROWTH_FACTOR**number
-            self.first.verdict(FATAL, ROUTE)
+            self.first.decide(FATAL, ROUTE)
             self.simulate_request(self.first, FATAL, 1_000 + number, trial=True)
             told = [
                 SuspicionMessage.from_suspicion(one, self.fleet.now_ms) for one in self.first.told()
