--- a/rhubarbhinge/gateway/tests/test_fatal_requests.py
+++ b/rhubarbhinge/gateway/tests/test_fatal_requests.py
@@ -47,7 +47,9 @@
         for world in worlds:
             for entry in world.entries.values():
                 quarantined = {
-                    one.fingerprint for one in entry.quarantine.told() if one.quarantined
+                    one.fingerprint
+                    for one in entry.quarantine.suspicions_to_send()
+                    if one.quarantined
                 }
                 self.assertLessEqual(quarantined, {FATAL})
         self.assertTrue(any(len(world.searchers.ends_ms) >= 10 for world in worlds))
--- a/rhubarbhinge/peers/_quarantine_news.py
+++ b/rhubarbhinge/peers/_quarantine_news.py
@@ -62,7 +62,8 @@
         """
         now_ms = self._timers.now_ms()
         return tuple(
-            SuspicionMessage.from_suspicion(known, now_ms) for known in self._quarantine.told()
+            SuspicionMessage.from_suspicion(known, now_ms)
+            for known in self._quarantine.suspicions_to_send()
         )
 
     def take(self, told: Iterable[SuspicionMessage]) -> None:
@@ -71,7 +72,7 @@
         :param told: the suspicions.
         """
         now_ms = self._timers.now_ms()
-        if self._quarantine.take([one.to_suspicion(now_ms) for one in told]):
+        if self._quarantine.merge([one.to_suspicion(now_ms) for one in told]):
             self.tell()
 
     def may_try(self, fingerprint: str) -> bool:
--- a/rhubarbhinge/quarantine/_quarantine.py
+++ b/rhubarbhinge/quarantine/_quarantine.py
@@ -137,7 +137,7 @@
         for name in self._caution_until_ms.keys() - names:
             del self._caution_until_ms[name]
 
-    def take(self, updates: Sequence[Suspicion]) -> bool:
+    def merge(self, updates: Sequence[Suspicion]) -> bool:
         """Merge the suspicions sent by another entry.
 
         :param updates: the suspicions.
@@ -152,7 +152,7 @@
             for fingerprint, known in before.items()
         )
 
-    def told(self) -> tuple[Suspicion, ...]:
+    def suspicions_to_send(self) -> tuple[Suspicion, ...]:
         """Return the suspicions to send to other entries: the newest, and a random sample of the
         rest.
 
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -62,11 +62,14 @@
     def tell(self, transit_ms: float = 2.0) -> None:
         """Send the suspicions of each entry to all others."""
         for name, sender in self.entries.items():
-            told = [SuspicionMessage.from_suspicion(known, self.now_ms) for known in sender.told()]
+            told = [
+                SuspicionMessage.from_suspicion(known, self.now_ms)
+                for known in sender.suspicions_to_send()
+            ]
             self.now_ms += transit_ms
             for other, receiver in self.entries.items():
                 if other != name:
-                    receiver.take([one.to_suspicion(self.now_ms) for one in told])
+                    receiver.merge([one.to_suspicion(self.now_ms) for one in told])
 
 
 class QuarantineTest(unittest.TestCase):
@@ -126,11 +129,11 @@
     def test_a_single_crash_is_not_announced(self):
         self.simulate_request(self.first, FATAL, 1)
         self.assertEqual(self.fleet.urgent_updates, 0)
-        self.assertFalse(self.second.take(self.first.told()))
+        self.assertFalse(self.second.merge(self.first.suspicions_to_send()))
         self.simulate_request(self.first, FATAL, 2)
         self.assertEqual(self.fleet.urgent_updates, 1)
-        self.assertTrue(self.second.take(self.first.told()))
-        self.assertFalse(self.second.take(self.first.told()))
+        self.assertTrue(self.second.merge(self.first.suspicions_to_send()))
+        self.assertFalse(self.second.merge(self.first.suspicions_to_send()))
 
     def test_a_crash_seen_by_two_entries_counts_once(self):
         for entry in (self.first, self.second):
@@ -182,9 +185,9 @@
         watch = self.first.watch(FATAL, ROUTE, True, lambda: None)
         watch.on_replied("s0")
         self.fleet.tell()
-        while cut_off.told():
+        while cut_off.suspicions_to_send():
             self.fleet.now_ms += 10_000.0
-            self.first.take(cut_off.told())
+            self.first.merge(cut_off.suspicions_to_send())
             self.assertEqual(self.first.decide(FATAL, ROUTE), ALLOWED)
             self.fleet.tell(0.0)
 
@@ -220,9 +223,9 @@
         self.quarantine(self.first)
         self.simulate_request(self.first, GOOD, 8)
         self.fleet.now_ms += SUSPICION_TTL_MS + 1.0
-        self.assertEqual(len(self.first.told()), 1)
+        self.assertEqual(len(self.first.suspicions_to_send()), 1)
         self.fleet.now_ms += EXPIRY_PERIODS * INITIAL_QUARANTINE_MS
-        self.assertEqual(self.first.told(), ())
+        self.assertEqual(self.first.suspicions_to_send(), ())
 
     def test_a_request_with_recent_replies_is_not_suspected(self):
         watch = self.first.watch(GOOD, ROUTE, False, lambda: None)
@@ -256,7 +259,7 @@
             self.quarantine(self.first, f"{number:032x}")
             self.fleet.now_ms += 10.0
         self.assertEqual(self.first.quarantined_count, MAX_SUSPICIONS)
-        told = self.first.told()
+        told = self.first.suspicions_to_send()
         self.assertEqual(len(told), 2 * NEWEST_SENT)
         sent = msgspec.json.encode(
             [SuspicionMessage.from_suspicion(one, self.fleet.now_ms) for one in told]
@@ -272,7 +275,8 @@
             self.first.decide(FATAL, ROUTE)
             self.simulate_request(self.first, FATAL, 1_000 + number, trial=True)
             told = [
-                SuspicionMessage.from_suspicion(one, self.fleet.now_ms) for one in self.first.told()
+                SuspicionMessage.from_suspicion(one, self.fleet.now_ms)
+                for one in self.first.suspicions_to_send()
             ]
             read = json_reader(list[SuspicionMessage])
             self.assertEqual(read(msgspec.json.encode(told)), told)
@@ -282,7 +286,8 @@
         for _ in range(500):
             self.fleet.tell(transit_ms=100.0)
         ages = [
-            self.fleet.now_ms - entry.told()[0].since_ms for entry in self.fleet.entries.values()
+            self.fleet.now_ms - entry.suspicions_to_send()[0].since_ms
+            for entry in self.fleet.entries.values()
         ]
         self.assertGreater(min(ages), 500 * 300.0 - 500.0)
 
