--- a/rhubarbhinge/delegation/_attempt_leave.py
+++ b/rhubarbhinge/delegation/_attempt_leave.py
@@ -53,7 +53,7 @@
         self._plan_to_say()
         return False
 
-    def on_ended(self, service: str, mark: int) -> None:
+    def on_searcher_exited(self, service: str, mark: int) -> None:
         """Tell the asking entry of a searcher that ended while it had the request.
 
         :param service: the shard.
--- a/rhubarbhinge/delegation/_far_sends.py
+++ b/rhubarbhinge/delegation/_far_sends.py
@@ -109,7 +109,7 @@
         "_tell",
         "_sent_ms",
         "_over",
-        "_searcher_ended",
+        "_searcher_exited",
         "ask",
     )
 
@@ -128,7 +128,7 @@
         self._tell = tell
         self._sent_ms = timers.now_ms()
         self._over = False
-        self._searcher_ended = False
+        self._searcher_exited = False
         self.ask: Delegate | None = None
         exchange.searcher.on_sent(number, self._sent_ms)
         exchange.searcher.on_written(number, self._sent_ms)
@@ -151,7 +151,7 @@
         :param news: how its attempt fares.
         :returns: none of them.
         """
-        self._searcher_ended = self._searcher_ended or bool(news.ended)
+        self._searcher_exited = self._searcher_exited or bool(news.ended)
         return ()
 
     def take(self, answer: Answer | None) -> None:
@@ -178,7 +178,7 @@
             searcher.on_refused(self._number, now_ms)
             return NotRun(FailureReason.NO_ROOM)
         searcher.on_withdrawn(self._number)
-        return Lost(FailureReason.BROKEN, self._searcher_ended)
+        return Lost(FailureReason.BROKEN, self._searcher_exited)
 
 
 def _reply(request_id: str, answer: Answer) -> SearcherReply:
--- a/rhubarbhinge/forward/_attempt_control.py
+++ b/rhubarbhinge/forward/_attempt_control.py
@@ -22,7 +22,7 @@
         :returns: True if the attempt may be sent immediately.
         """
 
-    def on_ended(self, service: str, mark: int) -> None:
+    def on_searcher_exited(self, service: str, mark: int) -> None:
         """Record that a searcher's process exited while it was handling the request.
 
         :param service: name of the service.
@@ -35,7 +35,7 @@
         :param service: name of the service.
         """
 
-    def on_over(self, service: str) -> None:
+    def on_call_finished(self, service: str) -> None:
         """Record that the call to a service has finished.
 
         :param service: name of the service.
@@ -57,7 +57,7 @@
         """
         return True
 
-    def on_ended(self, service: str, mark: int) -> None:
+    def on_searcher_exited(self, service: str, mark: int) -> None:
         """Do nothing.
 
         :param service: name of the service.
@@ -70,7 +70,7 @@
         :param service: name of the service.
         """
 
-    def on_over(self, service: str) -> None:
+    def on_call_finished(self, service: str) -> None:
         """Do nothing.
 
         :param service: name of the service.
--- a/rhubarbhinge/forward/_outcome.py
+++ b/rhubarbhinge/forward/_outcome.py
@@ -50,12 +50,12 @@
     """The request was sent, but it is unknown whether it was executed.
 
     :param reason: reason for the failure.
-    :param searcher_ended: whether the searcher's process has exited, i.e. nothing listens on its
+    :param searcher_exited: whether the searcher's process has exited, i.e. nothing listens on its
         port.
     """
 
     reason: FailureReason
-    searcher_ended: bool = False
+    searcher_exited: bool = False
 
 
 Outcome = Replied | NotRun | Lost
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -262,8 +262,8 @@
         self._arrived = True
         self._may_have_run = True
         self._last_reason = outcome.reason
-        if outcome.searcher_ended:
-            self._terms.control.on_ended(self.service, start.mark)
+        if outcome.searcher_exited:
+            self._terms.control.on_searcher_exited(self.service, start.mark)
         if self.over:
             return
         if self._terms.idempotent:
@@ -336,7 +336,7 @@
 
     def _finish(self, result: Result) -> None:
         self.cancel()
-        self._terms.control.on_over(self.service)
+        self._terms.control.on_call_finished(self.service)
         self._on_result(self, result)
 
     def _start_timer(self, delay_ms: float, callback: Callable[[], None]) -> None:
--- a/rhubarbhinge/forward/tests/test_pool.py
+++ b/rhubarbhinge/forward/tests/test_pool.py
@@ -230,7 +230,7 @@
         self.send("r1")
         self.received(1)
         self.searcher.links.abort(self.requests[0][0])
-        self.assertEqual(self.outcome("r1"), Lost(FailureReason.BROKEN, searcher_ended=False))
+        self.assertEqual(self.outcome("r1"), Lost(FailureReason.BROKEN, searcher_exited=False))
         self.assertEqual(len(self.searcher.accepted), 2)
 
     def test_a_searcher_without_listener_has_exited(self):
@@ -242,7 +242,7 @@
         for link, _ in self.requests:
             self.searcher.links.abort(link)
         for name in ("r1", "r2"):
-            self.assertEqual(self.outcome(name), Lost(FailureReason.BROKEN, searcher_ended=True))
+            self.assertEqual(self.outcome(name), Lost(FailureReason.BROKEN, searcher_exited=True))
         self.assertTrue(self.observed.is_down)
 
     def test_a_partial_reply_triggers_no_exit_check(self):
@@ -250,7 +250,7 @@
         self.received(1)
         self.searcher.links.send(self.requests[0][0], b"HTTP/1.1 200 OK\r\n")
         self.searcher.links.close(self.requests[0][0])
-        self.assertEqual(self.outcome("r1"), Lost(FailureReason.BROKEN, searcher_ended=False))
+        self.assertEqual(self.outcome("r1"), Lost(FailureReason.BROKEN, searcher_exited=False))
         self.assertEqual(len(self.searcher.accepted), 1)
 
     def test_a_reply_delimited_by_close_is_complete(self):
--- a/rhubarbhinge/gather/_gathering.py
+++ b/rhubarbhinge/gather/_gathering.py
@@ -122,7 +122,7 @@
         What is granted counts as executed from then on, also if the entry is never heard again.
         """
         for ended in news.ended:
-            self._control.on_ended(ended.service, ended.mark)
+            self._control.on_searcher_exited(ended.service, ended.mark)
         if news.replied:
             self._control.on_replied("")
         _, services = self._asks.get(address, (None, ()))
@@ -150,7 +150,7 @@
         self._trace.note("ask-ended", ",".join(services), entry=address, parts=in_time)
         for name in services:
             if part is None or name not in part.pending:
-                self._control.on_over(name)
+                self._control.on_call_finished(name)
         if part is None or not _is_sound(part, services):
             # Records of other shards can't be taken out of a part again.
             ask.cancel()
--- a/rhubarbhinge/gather/tests/test_ended_searchers.py
+++ b/rhubarbhinge/gather/tests/test_ended_searchers.py
@@ -30,7 +30,7 @@
             if attempt.service in services and not attempt.cancelled and not attempt.ended:
                 attempt.ended = True
                 self.world.observed(attempt.name).on_unreachable()
-                attempt.end(Lost(FailureReason.BROKEN, searcher_ended=True))
+                attempt.end(Lost(FailureReason.BROKEN, searcher_exited=True))
 
     def test_each_shard_loses_one_searcher_and_one_of_them_two(self):
         self.start()
--- a/rhubarbhinge/quarantine/_request_watch.py
+++ b/rhubarbhinge/quarantine/_request_watch.py
@@ -78,7 +78,7 @@
         self._extra.add(service)
         return True
 
-    def on_ended(self, service: str, mark: int) -> None:
+    def on_searcher_exited(self, service: str, mark: int) -> None:
         """Record that a searcher's process exited while it was handling the request.
 
         :param service: name of the service.
@@ -105,7 +105,7 @@
         for on_granted in held:
             on_granted()
 
-    def on_over(self, service: str) -> None:
+    def on_call_finished(self, service: str) -> None:
         """Record that the call to a service has finished, and grant the next deferred attempts.
 
         :param service: name of the service.
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -89,10 +89,10 @@
         watch = entry.watch(fingerprint, ROUTE, trial, lambda: stopped.append(True))
         for place, mark in enumerate(marks):
             watch.claim(f"s{place}", 1, lambda: None)
-            watch.on_ended(f"s{place}", mark)
+            watch.on_searcher_exited(f"s{place}", mark)
             watch.claim(f"s{place}", 2, lambda: None)
         if len(marks) >= 3:
-            watch.on_ended("s0", 100 + marks[0])
+            watch.on_searcher_exited("s0", 100 + marks[0])
         watch.close()
         return bool(stopped)
 
