--- a/rhubarbhinge/forward/_dialect.py
+++ b/rhubarbhinge/forward/_dialect.py
@@ -12,14 +12,14 @@
 class Dialect(Protocol):
     """Converts between wire messages of a platform and internal types; contains no policy."""
 
-    def caller_request(self, request: Request) -> CallerRequest:
+    def decode_request(self, request: Request) -> CallerRequest:
         """Decode a caller's request.
 
         :param request: request as read from the connection.
         :returns: decoded request.
         """
 
-    def searcher_request(self, request: CallerRequest, searcher: Searcher, left_ms: float) -> bytes:
+    def encode_request(self, request: CallerRequest, searcher: Searcher, left_ms: float) -> bytes:
         """Encode a request for a searcher.
 
         :param request: the caller's request.
@@ -28,21 +28,21 @@
         :returns: encoded request.
         """
 
-    def searcher_reply(self, raw: RawReply) -> SearcherReply:
+    def decode_reply(self, raw: RawReply) -> SearcherReply:
         """Decode a searcher's reply.
 
         :param raw: reply as read from the connection.
         :returns: decoded reply.
         """
 
-    def passed_on(self, reply: SearcherReply) -> Response:
+    def encode_reply(self, reply: SearcherReply) -> Response:
         """Encode a searcher's reply for the caller.
 
         :param reply: the searcher's reply.
         :returns: response to the caller.
         """
 
-    def merged(self, signatures: tuple[str, ...], missing: int, body: bytes) -> Response:
+    def encode_merged(self, signatures: tuple[str, ...], missing: int, body: bytes) -> Response:
         """Encode a response that is merged from the replies of several searchers.
 
         :param signatures: signatures of the replies that are included.
--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -192,7 +192,7 @@
         pending.sent_ms = now_ms
         exchange.searcher.on_written(pending.number, now_ms)
         left_ms = exchange.deadline_ms - now_ms
-        data = self._dialect.searcher_request(
+        data = self._dialect.encode_request(
             exchange.request, exchange.searcher.searcher, max(1.0, left_ms)
         )
         self._links.send(conn.link, data)
@@ -242,7 +242,7 @@
 
     def _replied(self, conn: Connection, raw: RawReply, last: bool) -> None:
         pending = conn.pending
-        reply = self._dialect.searcher_reply(raw)
+        reply = self._dialect.decode_reply(raw)
         if not is_reply_to(reply, pending.exchange.request.id):
             self._skip(conn, raw.reusable or not last, reply.request_id)
             return
--- a/rhubarbhinge/forward/tests/scripted.py
+++ b/rhubarbhinge/forward/tests/scripted.py
@@ -41,10 +41,10 @@
 class PlainDialect:
     """Minimal protocol between an entry and searchers."""
 
-    def searcher_request(self, request: CallerRequest, searcher: Searcher, left_ms: float) -> bytes:
+    def encode_request(self, request: CallerRequest, searcher: Searcher, left_ms: float) -> bytes:
         return request.head + b"Id: " + request.id.encode() + b"\r\n\r\n" + request.body
 
-    def searcher_reply(self, raw: RawReply) -> SearcherReply:
+    def decode_reply(self, raw: RawReply) -> SearcherReply:
         headers = {name.decode(): value.decode() for name, value in raw.headers}
         keep = headers.get("keep")
         return SearcherReply(
--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -74,7 +74,7 @@
         :param request: the request.
         :param responder: answers it.
         """
-        asked = self._parts.dialect.caller_request(request)
+        asked = self._parts.dialect.decode_request(request)
         plan = self._follower.plan
         if plan is None:
             message = "This entry has no configuration yet."
--- a/rhubarbhinge/gateway/_handling.py
+++ b/rhubarbhinge/gateway/_handling.py
@@ -203,13 +203,13 @@
             # To callers these say "not run", which this searcher did not say.
             self._answer(failed("searcher-failed", "The searcher failed."), "searcher-failed")
         else:
-            self._answer(self._parts.dialect.passed_on(reply), "passed")
+            self._answer(self._parts.dialect.encode_reply(reply), "passed")
 
     def _gathered(self, result: Gathered | NotEnough) -> None:
         missing = len(result.missing)
         self._missing = result.missing
         if isinstance(result, Gathered):
-            answer = self._parts.dialect.merged(result.signatures, missing, result.body)
+            answer = self._parts.dialect.encode_merged(result.signatures, missing, result.body)
             self._answer(answer, "gathered", missing)
             self._parts.lead.on_answered(self._route.name, answer)
             if result.by_time:
--- a/rhubarbhinge/gateway/tests/test_gateway.py
+++ b/rhubarbhinge/gateway/tests/test_gateway.py
@@ -20,14 +20,14 @@
 
 
 class FakeDialect:
-    def caller_request(self, request: Request) -> CallerRequest:
+    def decode_request(self, request: Request) -> CallerRequest:
         wait_ms = request.headers.get("wait")
         return CallerRequest("r1", b"", request.body, float(wait_ms) if wait_ms else None)
 
-    def passed_on(self, reply: SearcherReply) -> Response:
+    def encode_reply(self, reply: SearcherReply) -> Response:
         return Response(reply.status, reply.body)
 
-    def merged(self, signatures: tuple[str, ...], missing: int, body: bytes) -> Response:
+    def encode_merged(self, signatures: tuple[str, ...], missing: int, body: bytes) -> Response:
         return Response(200, body, (("missing", str(missing)),))
 
 
