--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -129,7 +129,7 @@
         self._suspend(observed, "domain-suspected")
         self.open_ahead(observed)
 
-    def set_aside(self, observed: ObservedSearcher) -> None:
+    def suspend_searcher(self, observed: ObservedSearcher) -> None:
         """Send no more requests to a searcher until it is reported as reachable again.
 
         Requests already sent are awaited; unsent ones fail as unreachable and can be sent
--- a/rhubarbhinge/gateway/_domain_checks.py
+++ b/rhubarbhinge/gateway/_domain_checks.py
@@ -103,7 +103,7 @@
         usable = self._usable(failure_domain)
         self._down[failure_domain] = set(usable)
         for observed in usable:
-            self._pool.set_aside(observed)
+            self._pool.suspend_searcher(observed)
         log_event(
             "domain-unreachable",
             level="warning",
--- a/rhubarbhinge/gateway/tests/test_domain_checks.py
+++ b/rhubarbhinge/gateway/tests/test_domain_checks.py
@@ -34,7 +34,7 @@
         observed.on_unreachable()
         self.open_ahead(observed)
 
-    def set_aside(self, observed: ObservedSearcher) -> None:
+    def suspend_searcher(self, observed: ObservedSearcher) -> None:
         observed.on_unreachable()
         self.aside.append(observed)
 
