--- a/rhubarbhinge/forward/__init__.py
+++ b/rhubarbhinge/forward/__init__.py
@@ -11,7 +11,7 @@
 from rhubarbhinge.forward._pool import ConnectionPool
 from rhubarbhinge.forward._reply_reader import RawReply, ReplyReader
 from rhubarbhinge.forward._request_trace import RequestTrace
-from rhubarbhinge.forward._result import Failed, Passed, Refused, Result
+from rhubarbhinge.forward._result import Failed, Refused, ReplyReceived, Result
 from rhubarbhinge.forward._search_terms import SearchTerms
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 from rhubarbhinge.forward._service_call import ServiceCall
@@ -30,11 +30,11 @@
     "Lost",
     "NotRun",
     "Outcome",
-    "Passed",
     "RawReply",
     "Refused",
     "Replied",
     "ReplyReader",
+    "ReplyReceived",
     "RequestTrace",
     "Result",
     "SearchTerms",
--- a/rhubarbhinge/forward/_result.py
+++ b/rhubarbhinge/forward/_result.py
@@ -6,7 +6,7 @@
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 
 
-class Passed(Struct, frozen=True):
+class ReplyReceived(Struct, frozen=True):
     """A searcher replied; the reply is forwarded to the caller unchanged.
 
     :param reply: the searcher's reply.
@@ -33,4 +33,4 @@
     reason: FailureReason | None
 
 
-Result = Passed | Refused | Failed
+Result = ReplyReceived | Refused | Failed
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -16,7 +16,7 @@
     outcome_fields,
 )
 from rhubarbhinge.forward._request_trace import RequestTrace
-from rhubarbhinge.forward._result import Failed, Passed, Refused, Result
+from rhubarbhinge.forward._result import Failed, Refused, ReplyReceived, Result
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 from rhubarbhinge.telemetry import SubQueryKind
 from rhubarbhinge.timing import Subscription
@@ -253,7 +253,7 @@
         self._may_have_run = True
         self._terms.control.on_replied(self.service)
         if reply.status < 500 or not self._terms.idempotent:
-            self._finish(Passed(reply))
+            self._finish(ReplyReceived(reply))
             return
         self._failed_reply = reply
         self._retry()
@@ -328,7 +328,7 @@
         if self.over or self._open_attempts:
             return
         if self._failed_reply is not None:
-            self._finish(Passed(self._failed_reply))
+            self._finish(ReplyReceived(self._failed_reply))
         elif self._may_have_run:
             self._finish(Failed(self._last_reason))
         else:
--- a/rhubarbhinge/forward/tests/test_service_call.py
+++ b/rhubarbhinge/forward/tests/test_service_call.py
@@ -8,8 +8,8 @@
     FailureReason,
     Lost,
     NotRun,
-    Passed,
     Refused,
+    ReplyReceived,
     RequestTrace,
     Result,
     ServiceCall,
@@ -192,7 +192,7 @@
         self.world.attempts[0].end(NotRun(FailureReason.NO_ROOM))
         self.assertEqual(self.sent(), 2)
         self.world.attempts[1].end(replied())
-        self.assertIsInstance(self.results[0], Passed)
+        self.assertIsInstance(self.results[0], ReplyReceived)
 
     def test_an_error_reply_to_a_non_idempotent_request_is_returned(self):
         self.start(FakeWorld(), idempotent=False)
@@ -246,7 +246,7 @@
         world.timers.advance(100.0)
         self.assertFalse(world.attempts[1].cancelled)
         world.attempts[1].end(replied())
-        self.assertIsInstance(self.results[0], Passed)
+        self.assertIsInstance(self.results[0], ReplyReceived)
 
     def test_the_first_send_needs_budget_after_an_arrival_by_another_entry(self):
         self.start(FakeWorld(slack=0.0), ran=1)
--- a/rhubarbhinge/gateway/_handling.py
+++ b/rhubarbhinge/gateway/_handling.py
@@ -9,8 +9,8 @@
     CallerRequest,
     CallTerms,
     Failed,
-    Passed,
     Refused,
+    ReplyReceived,
     RequestTrace,
     Result,
     ServiceCall,
@@ -188,7 +188,7 @@
             self._answer(self._refusal("timeout", "No searcher had room in time."), "timeout")
 
     def _called(self, call: ServiceCall, result: Result) -> None:
-        if isinstance(result, Passed):
+        if isinstance(result, ReplyReceived):
             self._pass_on(result)
         elif isinstance(result, Refused):
             why = result.reason.value if result.reason else "no-searcher"
@@ -197,7 +197,7 @@
             why = result.reason.value if result.reason else "failed"
             self._answer(failed(why, "The searcher's reply did not come."), why)
 
-    def _pass_on(self, result: Passed) -> None:
+    def _pass_on(self, result: ReplyReceived) -> None:
         reply = result.reply
         if reply.status in NOT_RUN_STATUSES:
             # To callers these say "not run", which this searcher did not say.
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -10,7 +10,7 @@
     CallContext,
     CallerRequest,
     CallTerms,
-    Passed,
+    ReplyReceived,
     RequestTrace,
     Result,
     SearcherReply,
@@ -112,6 +112,6 @@
     def _ended(self, call: ServiceCall, result: Result) -> None:
         if self._calls.pop(call.service, None) is None:
             return
-        reply = result.reply if isinstance(result, Passed) else None
+        reply = result.reply if isinstance(result, ReplyReceived) else None
         part = reply if reply is not None and reply.succeeded and reply.signature else None
         self._on_end(ShardEnd(call.service, part, call.arrived, call.may_have_run))
