--- a/rhubarbhinge/fleet/_fleet.py
+++ b/rhubarbhinge/fleet/_fleet.py
@@ -27,7 +27,7 @@
         self._by_service: dict[str, dict[str, ObservedSearcher]] = {}
         self._evacuated: set[str] = set()
 
-    def of(self, service: str) -> Iterable[ObservedSearcher]:
+    def of_service(self, service: str) -> Iterable[ObservedSearcher]:
         """Return the searchers of a service.
 
         :param service: name of the service.
@@ -41,7 +41,7 @@
         :param service: name of the service.
         :returns: True if one is published.
         """
-        return any(one.usable for one in self.of(service))
+        return any(one.usable for one in self.of_service(service))
 
     def is_reachable(self, service: str) -> bool:
         """Check whether a service has a searcher that can receive requests.
@@ -49,7 +49,7 @@
         :param service: name of the service.
         :returns: True if one is neither leaving nor down.
         """
-        return any(one.usable and not one.is_down for one in self.of(service))
+        return any(one.usable and not one.is_down for one in self.of_service(service))
 
     def all(self) -> Iterable[ObservedSearcher]:
         """Return all searchers.
--- a/rhubarbhinge/fleet/tests/test_fleet.py
+++ b/rhubarbhinge/fleet/tests/test_fleet.py
@@ -22,7 +22,7 @@
         self.fleet.put(TWO)
 
     def usable(self) -> list[str]:
-        return [one.searcher.incarnation for one in self.fleet.of("shard") if one.usable]
+        return [one.searcher.incarnation for one in self.fleet.of_service("shard") if one.usable]
 
     def test_draining_is_irreversible(self):
         self.fleet.put(replace(ONE, draining=True))
@@ -31,7 +31,7 @@
         self.assertEqual(self.left, ["i-1"])
 
     def test_a_searcher_marked_gone_stays_unusable(self):
-        observed = next(iter(self.fleet.of("shard")))
+        observed = next(iter(self.fleet.of_service("shard")))
         self.fleet.mark_gone(observed)
         self.fleet.mark_gone(observed)
         self.fleet.put(replace(ONE, warmup_ms=5.0))
@@ -63,7 +63,7 @@
         self.assertEqual(self.usable(), ["i-2"])
 
     def test_a_service_is_reachable_while_one_searcher_is(self):
-        one, two = self.fleet.of("shard")
+        one, two = self.fleet.of_service("shard")
         one.on_unreachable()
         self.assertTrue(self.fleet.is_reachable("shard"))
         two.on_unreachable()
@@ -78,11 +78,11 @@
         self.fleet = Fleet(lambda: 1_000.0, lambda observed: None)
         self.fleet.put(ONE)
         self.fleet.put(TWO)
-        self.one, self.two = self.fleet.of("shard")
+        self.one, self.two = self.fleet.of_service("shard")
         self.cost = expected_cost("hall-a", random.Random(1))
 
     def chosen(self, now_ms: float = 1_000.0, tried: tuple[SearcherStart, ...] = ()) -> str | None:
-        found = best_searcher(self.fleet.of("shard"), self.cost, 40.0, now_ms, tried)
+        found = best_searcher(self.fleet.of_service("shard"), self.cost, 40.0, now_ms, tried)
         return found.searcher.incarnation if found else None
 
     def test_a_busy_searcher_is_not_preferred(self):
@@ -142,7 +142,9 @@
         self.two.on_sent(1, 1_000.0)
         self.two.on_cancelled(1, 50.0, 8.0, 1_000.0)
         found = {
-            best_searcher(self.fleet.of("shard"), self.cost, 8.0, 2_000.0).searcher.incarnation
+            best_searcher(
+                self.fleet.of_service("shard"), self.cost, 8.0, 2_000.0
+            ).searcher.incarnation
             for _ in range(20)
         }
         self.assertEqual(found, {"i-1"})
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -139,7 +139,7 @@
 
     def _choose(self) -> ObservedSearcher | None:
         context, terms = self._context, self._terms
-        searchers = context.fleet.of(self.service)
+        searchers = context.fleet.of_service(self.service)
         if terms.searcher:
             searchers = [
                 one
--- a/rhubarbhinge/gateway/_far_search.py
+++ b/rhubarbhinge/gateway/_far_search.py
@@ -88,7 +88,7 @@
     for service in services:
         domains = {
             one.searcher.failure_domain
-            for one in fleet.of(service)
+            for one in fleet.of_service(service)
             if one.usable and not one.is_down
         }
         if failure_domain not in domains:
--- a/rhubarbhinge/gateway/tests/test_gateway.py
+++ b/rhubarbhinge/gateway/tests/test_gateway.py
@@ -252,13 +252,13 @@
 
     def test_requests_that_no_entry_can_serve_leave_it_ready(self):
         for name in ("s0", "s1", "s2", "s3"):
-            for observed in list(self.world.fleet.of(name)):
+            for observed in list(self.world.fleet.of_service(name)):
                 self.world.fleet.remove(observed.searcher.incarnation)
         for _ in range(3):
             self.ask("/all/x")
         self.assertTrue(self.gateway.can_serve())
         self.ask("/one/x")
-        for observed in self.world.fleet.of("one"):
+        for observed in self.world.fleet.of_service("one"):
             observed.on_unreachable()
         self.assertFalse(self.gateway.can_serve())
 
--- a/rhubarbhinge/published/tests/test_starts.py
+++ b/rhubarbhinge/published/tests/test_starts.py
@@ -131,7 +131,9 @@
 
     def check(self) -> None:
         for one in self.fleet.all():
-            assert one.searcher in {two.searcher for two in self.fleet.of(one.searcher.service)}
+            assert one.searcher in {
+                two.searcher for two in self.fleet.of_service(one.searcher.service)
+            }
             name, born = one.searcher.incarnation, one.searcher.started_unix_ms
             if born is not None:
                 assert born >= self.newest.get(name, 0), "an earlier start came after a later one"
