--- a/rhubarbhinge/fleet/_domain_reachability.py
+++ b/rhubarbhinge/fleet/_domain_reachability.py
@@ -45,7 +45,7 @@
         self._heard_ms[failure_domain] = self._now_ms()
         self._on_heard(failure_domain)
 
-    def heard_since(self, failure_domain: str, at_ms: float) -> bool:
+    def received_since(self, failure_domain: str, at_ms: float) -> bool:
         """Check whether data has arrived from any host of a domain since a given time.
 
         :param failure_domain: the domain.
--- a/rhubarbhinge/gateway/_domain_checks.py
+++ b/rhubarbhinge/gateway/_domain_checks.py
@@ -98,7 +98,7 @@
 
     def _conclude(self, failure_domain: str, since_ms: float) -> None:
         self._checked.discard(failure_domain)
-        if self._reachability.heard_since(failure_domain, since_ms):
+        if self._reachability.received_since(failure_domain, since_ms):
             return
         usable = self._usable(failure_domain)
         self._down[failure_domain] = set(usable)
