--- a/rhubarbhinge/fleet/_cold_rule.py
+++ b/rhubarbhinge/fleet/_cold_rule.py
@@ -13,7 +13,7 @@
     overage: float = 1.0
     slack: float = 0.0
 
-    def most_requests(self, per_s: float) -> int:
+    def max_requests(self, per_s: float) -> int:
         """Compute the limit.
 
         :param per_s: rate that the service configures.
--- a/rhubarbhinge/gateway/_cold_shares.py
+++ b/rhubarbhinge/gateway/_cold_shares.py
@@ -69,7 +69,7 @@
             return True
         if now_ms < self._joined_at_ms:
             return False
-        share = self._share(observed, self._rule().most_requests(service.warmup_per_s))
+        share = self._share(observed, self._rule().max_requests(service.warmup_per_s))
         return observed.cold_sends(now_ms).has_room(share, now_ms)
 
     def _share(self, observed: ObservedSearcher, most: int) -> int:
