--- a/rhubarbhinge/gateway/_figures.py
+++ b/rhubarbhinge/gateway/_figures.py
@@ -90,7 +90,7 @@
         metrics.show(WAITING, self._pool.waiting)
         metrics.show(EXTRA_SENDS, self._budget.granted)
         metrics.show(EXTRA_REFUSED, self._budget.refused)
-        metrics.show(BUDGET_LEFT, self._budget.least_left())
+        metrics.show(BUDGET_LEFT, self._budget.min_left())
         metrics.show(STORE_CALLS, self._source.platform_calls)
         metrics.show(READER_CALLS, self._source.reader_calls)
         metrics.show(STORE_ERA, self._follower.revision.era)
--- a/rhubarbhinge/retries/_budget.py
+++ b/rhubarbhinge/retries/_budget.py
@@ -65,7 +65,7 @@
         allowed = self.rule.ratio * self._requests.count(service, now_ms) + slack
         return allowed - self._extra_sends.count(service, now_ms)
 
-    def least_left(self) -> float:
+    def min_left(self) -> float:
         """Return the number of extra sends available to the service that has the fewest.
 
         :returns: number of extra sends; 0 before the first request.
--- a/rhubarbhinge/retries/tests/test_budget.py
+++ b/rhubarbhinge/retries/tests/test_budget.py
@@ -24,12 +24,12 @@
         self.assertEqual(sum(self.budget.take("t") for _ in range(50)), 27)
 
     def test_remaining_budget_and_refusals_are_reported(self):
-        self.assertEqual(self.budget.least_left(), 0.0)
+        self.assertEqual(self.budget.min_left(), 0.0)
         self.budget.on_request(("s", "t"))
         while self.budget.take("s"):
             pass
         self.assertEqual((self.budget.granted, self.budget.refused), (7, 1))
-        self.assertLess(self.budget.least_left(), 1.0)
+        self.assertLess(self.budget.min_left(), 1.0)
         self.assertGreater(self.budget.left("t"), 7.0)
 
     def test_spent_budget_is_restored_after_the_window(self):
