--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -87,7 +87,7 @@
         self._recent.add(route.name)
         handling = Handling(self._parts, asked, plan, route, responder, request.transit_ms)
         decision = self._parts.quarantine.decide(
-            asked.fingerprint, route.name, spreads=route.shards is not None
+            asked.fingerprint, route.name, fans_out=route.shards is not None
         )
         if isinstance(decision, Quarantined):
             handling.refuse(decision)
--- a/rhubarbhinge/quarantine/_quarantine.py
+++ b/rhubarbhinge/quarantine/_quarantine.py
@@ -82,12 +82,12 @@
         """Number of requests that are currently refused or limited to trials."""
         return sum(known.quarantined for known in self._known.values())
 
-    def decide(self, fingerprint: str, route: str, spreads: bool = True) -> Decision:
+    def decide(self, fingerprint: str, route: str, fans_out: bool = True) -> Decision:
         """Decide whether a request may be sent.
 
         :param fingerprint: fingerprint of the request.
         :param route: name of the route.
-        :param spreads: whether the request is sent to many searchers at once, so that sending it to
+        :param fans_out: whether the request is sent to many searchers at once, so that sending it to
             one first protects the others.
         :returns: the decision.
         """
@@ -97,7 +97,7 @@
         known = self._current(fingerprint, now_ms)
         if known is None or known.cleared:
             is_good = self._replies.has(fingerprint, now_ms)
-            cautious = spreads and not is_good and self._is_cautious(route, now_ms)
+            cautious = fans_out and not is_good and self._is_cautious(route, now_ms)
             return ONE_FIRST if cautious else ALLOWED
         wait_ms = self._wait_ms(known, now_ms)
         if wait_ms > 0.0:
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -241,7 +241,7 @@
         self.fleet.tell()
         self.assertEqual(self.decisions("a" * 32), [ONE_FIRST] * 3)
         self.assertEqual(self.second.decide("a" * 32, "other"), ALLOWED)
-        self.assertEqual(self.second.decide("a" * 32, ROUTE, spreads=False), ALLOWED)
+        self.assertEqual(self.second.decide("a" * 32, ROUTE, fans_out=False), ALLOWED)
         self.fleet.now_ms += CAUTION_WINDOW_MS
         self.assertEqual(self.decisions("a" * 32), [ALLOWED] * 3)
 
