--- a/rhubarbhinge/fleet/_choice.py
+++ b/rhubarbhinge/fleet/_choice.py
@@ -99,11 +99,11 @@
     :param may_send: tells which searchers may receive a request now.
     :returns: the searcher, or None if there is none.
     """
-    best, least = None, float("inf")
+    best, lowest = None, float("inf")
     for observed in candidates:
         if not observed.usable or observed.is_down or observed.start in tried:
             continue
         cost = preference(observed, typical_ms, now_ms)
-        if cost < least and may_send(observed, now_ms):
-            best, least = observed, cost
+        if cost < lowest and may_send(observed, now_ms):
+            best, lowest = observed, cost
     return best
--- a/rhubarbhinge/fleet/_cold_sends.py
+++ b/rhubarbhinge/fleet/_cold_sends.py
@@ -25,17 +25,17 @@
         self._sent_ms: deque[float] = deque()
         self._blocked_until_ms = now_ms if known else now_ms + WINDOW_MS
 
-    def has_room(self, most: int, now_ms: float) -> bool:
+    def has_room(self, limit: int, now_ms: float) -> bool:
         """Check whether one more request may be sent.
 
-        :param most: maximum number of requests per second.
+        :param limit: maximum number of requests per second.
         :param now_ms: current time.
         :returns: True if the count is below the maximum.
         """
         if now_ms < self._blocked_until_ms:
             return False
         self._expire(now_ms)
-        return len(self._unsent) + len(self._sent_ms) < most
+        return len(self._unsent) + len(self._sent_ms) < limit
 
     def on_chosen(self, attempt: int) -> None:
         """Record a request for which the searcher was chosen.
--- a/rhubarbhinge/fleet/_domain_reachability.py
+++ b/rhubarbhinge/fleet/_domain_reachability.py
@@ -61,11 +61,14 @@
         :param ip: IP address of the host.
         """
         now_ms = self._now_ms()
-        silent = self._unreachable_ms.setdefault(failure_domain, {})
-        silent[ip] = now_ms
-        for other, at_ms in list(silent.items()):
+        unreachable = self._unreachable_ms.setdefault(failure_domain, {})
+        unreachable[ip] = now_ms
+        for other, at_ms in list(unreachable.items()):
             if now_ms - at_ms > UNREACHABLE_WINDOW_MS:
-                del silent[other]
+                del unreachable[other]
         heard_ms = self._heard_ms.get(failure_domain, float("-inf"))
-        if len(silent) >= UNREACHABLE_HOSTS_TO_SUSPECT and now_ms - heard_ms > RECENTLY_HEARD_MS:
+        if (
+            len(unreachable) >= UNREACHABLE_HOSTS_TO_SUSPECT
+            and now_ms - heard_ms > RECENTLY_HEARD_MS
+        ):
             self._on_suspect(failure_domain)
--- a/rhubarbhinge/fleet/_observed.py
+++ b/rhubarbhinge/fleet/_observed.py
@@ -248,11 +248,11 @@
             self._observe(ratio, now_ms)
 
     def _observe(self, ratio: float, now_ms: float) -> None:
-        old = self.slowness(now_ms)
-        self._slowness = old + SMOOTHING * (min(ratio, MAX_SLOWNESS) - old)
+        previous = self.slowness(now_ms)
+        self._slowness = previous + SMOOTHING * (min(ratio, MAX_SLOWNESS) - previous)
         self._slowness_ms = now_ms
 
     def _observe_refusal(self, refused: float, now_ms: float) -> None:
-        old = self.refusal_share(now_ms)
-        self._refusals = old + REFUSAL_SMOOTHING * (refused - old)
+        previous = self.refusal_share(now_ms)
+        self._refusals = previous + REFUSAL_SMOOTHING * (refused - previous)
         self._refusals_ms = now_ms
--- a/rhubarbhinge/forward/_pool.py
+++ b/rhubarbhinge/forward/_pool.py
@@ -59,7 +59,7 @@
         self._on_wrong_searcher = on_wrong_searcher
         self._reachability = reachability
         self.bad_loads = 0
-        self._numbers = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         self._by_link: dict[int, Connection] = {}
         self._by_searcher: dict[SearcherStart, SearcherConnections] = {}
         self._exit_checks = ExitChecks(timers, self.open_ahead)
@@ -93,7 +93,9 @@
         :param on_outcome: called once with the outcome, after this method has returned.
         :returns: handle for cancelling the exchange.
         """
-        pending = PendingExchange(next(self._numbers), exchange, on_outcome, self._cancelled)
+        pending = PendingExchange(
+            next(self._attempt_numbers), exchange, on_outcome, self._cancelled
+        )
         observed = exchange.searcher
         now_ms = self._timers.now_ms()
         observed.on_sent(pending.number, now_ms)
@@ -212,7 +214,7 @@
         elif conn.pending is not None:
             self._write(conn, conn.pending, now_ms)
         else:
-            self._keep(conn, DEFAULT_KEEP_ALIVE_MS)
+            self._release(conn, DEFAULT_KEEP_ALIVE_MS)
 
     def _close_unusable(self, conn: Connection) -> None:
         """Close a connection whose searcher became unusable while it was being established."""
@@ -250,7 +252,7 @@
         conn.pending = None
         reusable = raw.reusable and last and not conn.skipped
         if reusable and pending.exchange.searcher.usable:
-            self._keep(conn, reply.keep_alive_ms)
+            self._release(conn, reply.keep_alive_ms)
         else:
             self._drop(conn)
         delay_ms = now_ms - pending.sent_ms
@@ -273,7 +275,7 @@
         if not more_may_come or conn.skipped > MAX_SKIPPED_REPLIES:
             self._fail(conn, Lost(FailureReason.MALFORMED), "other-request")
 
-    def _keep(self, conn: Connection, keep_alive_ms: float | None) -> None:
+    def _release(self, conn: Connection, keep_alive_ms: float | None) -> None:
         connections = self._connections(conn.searcher)
         now_ms = self._timers.now_ms()
         waiting = self._next_sendable(connections, now_ms)
@@ -369,7 +371,7 @@
                 searcher=searcher.incarnation,
                 code=code,
             )
-        self._mark_down(conn.searcher, code, but=conn)
+        self._mark_down(conn.searcher, code, keep=conn)
         self._reachability.on_unreachable(searcher.failure_domain, searcher.ip)
 
     def _suspend(self, observed: ObservedSearcher, code: str) -> None:
@@ -382,7 +384,7 @@
             self._drop(conn)
 
     def _mark_down(
-        self, observed: ObservedSearcher, code: str, but: Connection | None = None
+        self, observed: ObservedSearcher, code: str, keep: Connection | None = None
     ) -> None:
         """Mark a searcher as unreachable and fail its unsent requests, so that they are sent
         elsewhere."""
@@ -390,7 +392,7 @@
         self._withdraw_waiting(self._connections(observed), FailureReason.UNREACHABLE)
         opening = [c for c in self._by_link.values() if c.searcher is observed and not c.is_open]
         for conn in opening:
-            if conn is but:
+            if conn is keep:
                 continue
             if conn.pending is None:
                 self._drop(conn)
--- a/rhubarbhinge/forward/_reply_reader.py
+++ b/rhubarbhinge/forward/_reply_reader.py
@@ -84,11 +84,11 @@
         """
         if not self._head_done:
             self._head_bytes += len(data)
-        fault = self._parse(data)
+        error_code = self._parse(data)
         replies, self._replies = self._replies, []
-        if not replies and fault:
-            raise ReplyError(fault)
-        if replies and (fault or self._in_message):
+        if not replies and error_code:
+            raise ReplyError(error_code)
+        if replies and (error_code or self._in_message):
             # A complete reply stays valid, but the unsolicited bytes after it make the connection
             # unusable.
             replies[-1] = replace(replies[-1], reusable=False)
@@ -156,8 +156,8 @@
             self._replies.append(self._reply(False))
             return
         names = {name for name, _ in self._headers}
-        stated = b"content-length" in names or b"transfer-encoding" in names
-        self._until_close = not stated and self._status not in STATUSES_WITHOUT_BODY
+        is_delimited = b"content-length" in names or b"transfer-encoding" in names
+        self._until_close = not is_delimited and self._status not in STATUSES_WITHOUT_BODY
 
     def on_body(self, data: bytes) -> None:
         """Store a chunk of the body.
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -70,7 +70,7 @@
         "_last_reason",
         "_may_have_run",
         "_timer",
-        "over",
+        "finished",
     )
 
     def __init__(
@@ -100,7 +100,7 @@
         self._last_reason: FailureReason | None = None
         self._may_have_run = False
         self._timer: Subscription | None = None
-        self.over = False
+        self.finished = False
 
     @property
     def may_have_run(self) -> bool:
@@ -131,7 +131,7 @@
 
     def cancel(self) -> None:
         """Cancel the call; its result is not reported."""
-        self.over = True
+        self.finished = True
         self._cancel_timer()
         attempts, self._open_attempts = self._open_attempts, {}
         for attempt in attempts.values():
@@ -198,7 +198,7 @@
         )
 
     def _hedge(self) -> None:
-        if self.over or self._is_past_deadline():
+        if self.finished or self._is_past_deadline():
             return
         chosen = self._choose()
         if chosen is None or chosen.is_avoided(self._context.timers.now_ms()):
@@ -235,7 +235,7 @@
         return not self.arrived or self._context.budget.take(self.service)
 
     def _on_attempt_ended(self, start: SearcherStart, outcome: Outcome) -> None:
-        if self.over:
+        if self.finished:
             return
         self._trace.note(
             "attempt-ended", self.service, start.incarnation, **outcome_fields(outcome)
@@ -264,7 +264,7 @@
         self._last_reason = outcome.reason
         if outcome.searcher_exited:
             self._terms.control.on_searcher_exited(self.service, start.mark)
-        if self.over:
+        if self.finished:
             return
         if self._terms.idempotent:
             self._retry()
@@ -283,7 +283,7 @@
             self._retry()
 
     def _retry(self) -> None:
-        if self.over:
+        if self.finished:
             return
         if self._refusals >= MAX_REFUSALS or self._ran >= self._terms.max_attempts:
             self._finish_unsuccessfully()
@@ -304,7 +304,7 @@
             self._send(chosen, "retry")
 
     def _retry_paused(self) -> None:
-        if self.over or self._open_attempts:
+        if self.finished or self._open_attempts:
             return
         if self._is_past_deadline():
             self._finish_unsuccessfully()
@@ -325,7 +325,7 @@
 
     def _finish_unsuccessfully(self) -> None:
         """Finish without a success, unless an attempt is still in progress."""
-        if self.over or self._open_attempts:
+        if self.finished or self._open_attempts:
             return
         if self._failed_reply is not None:
             self._finish(ReplyReceived(self._failed_reply))
--- a/rhubarbhinge/quarantine/_quarantine.py
+++ b/rhubarbhinge/quarantine/_quarantine.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.quarantine._decision import ALLOWED, ONE_FIRST, Decision, Quarantined
 from rhubarbhinge.quarantine._recent_replies import RecentReplies
 from rhubarbhinge.quarantine._request_watch import RequestWatch
-from rhubarbhinge.quarantine._suspicion import ENDS_TO_QUARANTINE, Suspicion, limit_marks
+from rhubarbhinge.quarantine._suspicion import CRASHES_TO_QUARANTINE, Suspicion, limit_marks
 from rhubarbhinge.telemetry import log_event
 
 INITIAL_QUARANTINE_MS = 60_000.0
@@ -55,7 +55,8 @@
 
     :param now_ms: returns the current time.
     :param may_try: tells whether this entry is the one assigned to trials of a request.
-    :param on_news: called when there is an update that other entries should receive at once.
+    :param on_urgent_update: called when there is an update that other entries should receive at
+        once.
     :param rng: draws the older suspicions to send.
     """
 
@@ -63,12 +64,12 @@
         self,
         now_ms: Callable[[], float],
         may_try: Callable[[str], bool],
-        on_news: Callable[[], None],
+        on_urgent_update: Callable[[], None],
         rng: random.Random,
     ):
         self._now_ms = now_ms
         self._may_try = may_try
-        self._on_news = on_news
+        self._on_urgent_update = on_urgent_update
         self._rng = rng
         self._known: dict[str, Suspicion] = {}
         self._replies = RecentReplies(RECENT_REPLY_MS)
@@ -87,17 +88,17 @@
 
         :param fingerprint: fingerprint of the request.
         :param route: name of the route.
-        :param fans_out: whether the request is sent to many searchers at once, so that sending it to
-            one first protects the others.
+        :param fans_out: whether the request is sent to many searchers at once, so that sending it
+            to one first protects the others.
         :returns: the decision.
         """
         if not self._known:
             return ALLOWED
         now_ms = self._now_ms()
-        known = self._current(fingerprint, now_ms)
+        known = self._unexpired(fingerprint, now_ms)
         if known is None or known.cleared:
-            is_good = self._replies.has(fingerprint, now_ms)
-            cautious = fans_out and not is_good and self._is_cautious(route, now_ms)
+            has_recent_reply = self._replies.has(fingerprint, now_ms)
+            cautious = fans_out and not has_recent_reply and self._is_cautious(route, now_ms)
             return ONE_FIRST if cautious else ALLOWED
         wait_ms = self._wait_ms(known, now_ms)
         if wait_ms > 0.0:
@@ -123,7 +124,7 @@
             if marks and one_first and fingerprint not in self._known:
                 self._caution_until_ms[route] = self._now_ms() + CAUTION_WINDOW_MS
             if marks:
-                self._record_ends(fingerprint, route, marks)
+                self._record_crashes(fingerprint, route, marks)
 
         watch = RequestWatch(one_first, on_stopped, lambda: self._replied(fingerprint), closed)
         self._watches[fingerprint].add(watch)
@@ -153,8 +154,8 @@
         )
 
     def suspicions_to_send(self) -> tuple[Suspicion, ...]:
-        """Return the suspicions to send to other entries: the newest, and a random sample of the
-        rest.
+        """Return the suspicions to send to other entries: the newest, and a sample of the older
+        ones.
 
         :returns: the suspicions.
         """
@@ -162,8 +163,8 @@
             return ()
         self._expire()
         known = sorted(self._known.values(), key=lambda one: -one.since_ms)
-        rest = known[NEWEST_SENT:]
-        return (*known[:NEWEST_SENT], *self._rng.sample(rest, min(NEWEST_SENT, len(rest))))
+        older = known[NEWEST_SENT:]
+        return (*known[:NEWEST_SENT], *self._rng.sample(older, min(NEWEST_SENT, len(older))))
 
     def _replied(self, fingerprint: str) -> None:
         now_ms = self._now_ms()
@@ -173,13 +174,13 @@
             self._merge(
                 Suspicion(fingerprint, known.route, known.round, True, frozenset(), now_ms), "reply"
             )
-            self._on_news()
+            self._on_urgent_update()
 
-    def _record_ends(self, fingerprint: str, route: str, marks: tuple[int, ...]) -> None:
+    def _record_crashes(self, fingerprint: str, route: str, marks: tuple[int, ...]) -> None:
         now_ms = self._now_ms()
         if not fingerprint or self._replies.has(fingerprint, now_ms):
             return
-        known = self._current(fingerprint, now_ms)
+        known = self._unexpired(fingerprint, now_ms)
         round_, found = 1, limit_marks(marks)
         if known is not None:
             failed_trial = known.quarantined and now_ms - known.since_ms >= _period_ms(known.round)
@@ -188,7 +189,7 @@
                 found = limit_marks(found | known.marks)
         self._merge(Suspicion(fingerprint, route, round_, False, found, now_ms), "here")
         if _is_urgent(self._known[fingerprint]):
-            self._on_news()
+            self._on_urgent_update()
 
     def _merge(self, update: Suspicion, source: str) -> None:
         known = self._known.get(update.fingerprint)
@@ -230,7 +231,7 @@
         )
         return recent[route] >= CAUTION_REQUESTS
 
-    def _current(self, fingerprint: str, now_ms: float) -> Suspicion | None:
+    def _unexpired(self, fingerprint: str, now_ms: float) -> Suspicion | None:
         known = self._known.get(fingerprint)
         if known is not None and now_ms - known.since_ms > _ttl_ms(known):
             self._drop(fingerprint)
@@ -240,7 +241,7 @@
     def _expire(self) -> None:
         now_ms = self._now_ms()
         for fingerprint in list(self._known):
-            self._current(fingerprint, now_ms)
+            self._unexpired(fingerprint, now_ms)
 
     def _evict_oldest(self, fingerprint: str) -> None:
         if fingerprint in self._known or len(self._known) < MAX_SUSPICIONS:
@@ -270,7 +271,7 @@
 def _ttl_ms(known: Suspicion) -> float:
     # A clearance is kept as long as a quarantine; otherwise an entry that was disconnected in the
     # meantime could reintroduce the quarantine.
-    if not known.cleared and len(known.marks) < ENDS_TO_QUARANTINE:
+    if not known.cleared and len(known.marks) < CRASHES_TO_QUARANTINE:
         return SUSPICION_TTL_MS
     return EXPIRY_PERIODS * _period_ms(known.round)
 
--- a/rhubarbhinge/quarantine/_request_watch.py
+++ b/rhubarbhinge/quarantine/_request_watch.py
@@ -3,9 +3,9 @@
 from collections import deque
 from collections.abc import Callable
 
-from rhubarbhinge.quarantine._suspicion import ENDS_TO_QUARANTINE
+from rhubarbhinge.quarantine._suspicion import CRASHES_TO_QUARANTINE
 
-ENDS_TO_SUSPECT = 2
+CRASHES_TO_SUSPECT = 2
 """Number of searchers that crash during a request, without a reply from any, before further
 attempts are sent one at a time. A single crash may be coincidental; after two at once, one more
 attempt shows which it is."""
@@ -86,9 +86,9 @@
         """
         if self._cleared or self._closed:
             return
-        alone = self._is_suspect and service in self._extra
+        is_further_attempt = self._is_suspect and service in self._extra
         self._marks[mark] = service
-        if alone and (self.is_trial or len(self._marks) >= ENDS_TO_QUARANTINE):
+        if is_further_attempt and (self.is_trial or len(self._marks) >= CRASHES_TO_QUARANTINE):
             self._close(confirmed=True)
             self._on_stopped()
 
@@ -101,8 +101,8 @@
             return
         self._cleared = True
         self._on_cleared()
-        held, self._deferred = self._deferred, deque()
-        for on_granted in held:
+        deferred, self._deferred = self._deferred, deque()
+        for on_granted in deferred:
             on_granted()
 
     def on_call_finished(self, service: str) -> None:
@@ -137,7 +137,7 @@
 
     @property
     def _is_suspect(self) -> bool:
-        return self.is_trial or len(self._marks) >= ENDS_TO_SUSPECT
+        return self.is_trial or len(self._marks) >= CRASHES_TO_SUSPECT
 
     def _close(self, confirmed: bool) -> None:
         self._closed = True
@@ -145,4 +145,4 @@
         marks = () if self._cleared else tuple(self._marks)
         # Unless confirmed by a further attempt, report two crashes at most: enough to try the
         # request at one searcher next time, but not enough to quarantine it.
-        self._on_closed(self, marks if confirmed else marks[:ENDS_TO_SUSPECT])
+        self._on_closed(self, marks if confirmed else marks[:CRASHES_TO_SUSPECT])
--- a/rhubarbhinge/quarantine/_suspicion.py
+++ b/rhubarbhinge/quarantine/_suspicion.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-ENDS_TO_QUARANTINE = 3
+CRASHES_TO_QUARANTINE = 3
 """Number of searcher crashes before a request is quarantined. A harmless request loses one searcher
 to a crash now and then, and two to a crash in two failure domains; the third is the price of
 certainty."""
@@ -47,7 +47,7 @@
     @property
     def quarantined(self) -> bool:
         """Whether enough searchers have crashed during the request."""
-        return not self.cleared and len(self.marks) >= ENDS_TO_QUARANTINE
+        return not self.cleared and len(self.marks) >= CRASHES_TO_QUARANTINE
 
     def merged_with(self, other: "Suspicion") -> "Suspicion":
         """Merge with another suspicion of the same request.
--- a/rhubarbhinge/quarantine/tests/test_quarantine.py
+++ b/rhubarbhinge/quarantine/tests/test_quarantine.py
@@ -52,11 +52,11 @@
         return Quarantine(
             lambda: self.now_ms,
             lambda fingerprint: name == self.trial_entry,
-            self.on_news,
+            self.on_urgent_update,
             random.Random(name),
         )
 
-    def on_news(self) -> None:
+    def on_urgent_update(self) -> None:
         self.urgent_updates += 1
 
     def tell(self, transit_ms: float = 2.0) -> None:
