--- a/rhubarbhinge/delegation/tests/test_components.py
+++ b/rhubarbhinge/delegation/tests/test_components.py
@@ -34,7 +34,7 @@
         context = CallContext(
             self.timers,
             context.fleet,
-            context.preference,
+            context.cost_function,
             context.budget,
             context.send,
             context.metrics,
--- a/rhubarbhinge/fleet/_choice.py
+++ b/rhubarbhinge/fleet/_choice.py
@@ -83,7 +83,7 @@
 
 def best_searcher(
     candidates: Iterable[ObservedSearcher],
-    preference: CostFunction,
+    cost_function: CostFunction,
     typical_ms: float,
     now_ms: float,
     tried: Collection[SearcherStart] = (),
@@ -92,7 +92,7 @@
     """Choose the reachable searcher with the lowest cost.
 
     :param candidates: searchers of the service.
-    :param preference: cost function.
+    :param cost_function: cost function.
     :param typical_ms: typical latency of such requests.
     :param now_ms: current time.
     :param tried: starts of searchers to exclude.
@@ -103,7 +103,7 @@
     for observed in candidates:
         if not observed.usable or observed.is_down or observed.start in tried:
             continue
-        cost = preference(observed, typical_ms, now_ms)
+        cost = cost_function(observed, typical_ms, now_ms)
         if cost < lowest and may_send(observed, now_ms):
             best, lowest = observed, cost
     return best
--- a/rhubarbhinge/forward/_call_context.py
+++ b/rhubarbhinge/forward/_call_context.py
@@ -14,7 +14,7 @@
 
     :param timers: the timer service.
     :param fleet: known searchers.
-    :param preference: cost function for choosing a searcher.
+    :param cost_function: cost function for choosing a searcher.
     :param budget: retry budget, which limits sends beyond the first.
     :param send: starts an exchange.
     :param metrics: counts the requests sent.
@@ -23,7 +23,7 @@
 
     timers: TimerService
     fleet: Fleet
-    preference: CostFunction
+    cost_function: CostFunction
     budget: RetryBudget
     send: SendAttempt
     metrics: Metrics
--- a/rhubarbhinge/forward/_service_call.py
+++ b/rhubarbhinge/forward/_service_call.py
@@ -149,7 +149,7 @@
             ]
         return best_searcher(
             searchers,
-            context.preference,
+            context.cost_function,
             self._delays.quantile(0.5),
             context.timers.now_ms(),
             self._tried,
--- a/rhubarbhinge/forward/tests/fakes.py
+++ b/rhubarbhinge/forward/tests/fakes.py
@@ -74,10 +74,10 @@
         rule = BudgetRule(0.0, slack, 10_000.0)
         self.budget = RetryBudget(rule, self.timers.now_ms, lambda: 1)
         self.delays = Delays(20.0)
-        preference = expected_cost("hall-a", random.Random(1))
+        cost_function = expected_cost("hall-a", random.Random(1))
         self.metrics = Metrics()
         self.context = CallContext(
-            self.timers, self.fleet, preference, self.budget, self._send, self.metrics
+            self.timers, self.fleet, cost_function, self.budget, self._send, self.metrics
         )
 
     def _send(self, exchange: Exchange, on_outcome: Callable[[Outcome], None]) -> FakeAttempt:
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -108,11 +108,11 @@
             lambda: self._serving.check(),
         )
         self._budget = RetryBudget(settings.retry_budget, self.timers.now_ms, self._processes)
-        preference = expected_cost(settings.failure_domain, self._rng)
+        cost_function = expected_cost(settings.failure_domain, self._rng)
         context = CallContext(
             self.timers,
             self._fleet,
-            preference,
+            cost_function,
             self._budget,
             lambda exchange, tell: self._far_sends.send(exchange, tell),
             self._metrics,
