--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -19,7 +19,7 @@
     DelegateRequest,
     Message,
 )
-from rhubarbhinge.fleet import DomainReach
+from rhubarbhinge.fleet import DomainReachability
 from rhubarbhinge.gather import AttemptReport, GrantAttempts
 from rhubarbhinge.members import Member, Membership
 from rhubarbhinge.net import CloseReason, FrameError, Links
@@ -107,7 +107,7 @@
     :param membership: the other entries; is informed of those that respond.
     :param port: port on which entries accept requests.
     :param rng: randomizes the choice of entries.
-    :param reach: is informed of responding failure domains and of unreachable entries.
+    :param reachability: is informed of responding failure domains and of unreachable entries.
     """
 
     channel = "delegates"
@@ -118,10 +118,10 @@
         membership: Membership,
         port: int,
         rng: random.Random,
-        reach: DomainReach,
+        reachability: DomainReachability,
     ):
         super().__init__()
-        self._reach = reach
+        self._reachability = reachability
         self._timers = timers
         self._membership = membership
         self._port = port
@@ -235,7 +235,7 @@
         state = self._by_link.get(link)
         if state is None:
             return
-        self._reach.on_heard(state.failure_domain)
+        self._reachability.on_heard(state.failure_domain)
         self._membership.on_domain_contact(state.failure_domain)
         try:
             for message in state.codec.feed(data):
@@ -294,7 +294,7 @@
             del self._by_ip[state.ip]
         self._back_off(state.ip)
         if reason in UNREACHABLE_REASONS:
-            self._reach.on_unreachable(state.failure_domain, state.ip)
+            self._reachability.on_unreachable(state.failure_domain, state.ip)
         for number in [n for n, call in self._calls.items() if call.link == link]:
             self._fail(number, reason.value)
 
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -8,13 +8,13 @@
 from rhubarbhinge.forward import (
     Attempt,
     Exchange,
+    FailureReason,
     Lost,
     NotRun,
     Outcome,
     Replied,
     SearcherReply,
     SendAttempt,
-    Why,
 )
 from rhubarbhinge.gather import AttemptReport
 from rhubarbhinge.timing import TimerService
@@ -112,7 +112,7 @@
         "_on_outcome",
         "_sent_ms",
         "_finished",
-        "_searcher_ended",
+        "_searcher_exited",
         "call",
     )
 
@@ -131,7 +131,7 @@
         self._on_outcome = on_outcome
         self._sent_ms = timers.now_ms()
         self._finished = False
-        self._searcher_ended = False
+        self._searcher_exited = False
         self.call: DelegateCall | None = None
         exchange.searcher.on_sent(number, self._sent_ms)
         exchange.searcher.on_written(number, self._sent_ms)
@@ -154,7 +154,7 @@
         :param news: progress of its attempt.
         :returns: no shards.
         """
-        self._searcher_ended = self._searcher_ended or bool(news.ended)
+        self._searcher_exited = self._searcher_exited or bool(news.ended)
         return ()
 
     def on_reply(self, reply: DelegateReply | None) -> None:
@@ -176,12 +176,12 @@
             return Replied(_searcher_reply(exchange.request.id, reply), delay_ms)
         if reply is not None and reply.untried == (service,):
             searcher.on_withdrawn(self._number)
-            return NotRun(Why.UNREACHABLE)
+            return NotRun(FailureReason.UNREACHABLE)
         if reply is not None and not reply.may_have_run:
             searcher.on_refused(self._number, now_ms)
-            return NotRun(Why.NO_ROOM)
+            return NotRun(FailureReason.NO_ROOM)
         searcher.on_withdrawn(self._number)
-        return Lost(Why.BROKEN, self._searcher_ended)
+        return Lost(FailureReason.BROKEN, self._searcher_exited)
 
 
 def _searcher_reply(request_id: str, reply: DelegateReply) -> SearcherReply:
--- a/rhubarbhinge/delegation/_server.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -17,7 +17,7 @@
 )
 from rhubarbhinge.delegation._remote_attempt_control import RemoteAttemptControl
 from rhubarbhinge.fleet import Delays
-from rhubarbhinge.forward import CallerRequest, CallTerms, SearcherReply, Story, Surroundings
+from rhubarbhinge.forward import CallContext, CallerRequest, CallTerms, RequestTrace, SearcherReply
 from rhubarbhinge.gather import AttemptReport, ShardCalls, ShardOutcome, merge_greatest
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
@@ -38,7 +38,7 @@
     """Searches shards on behalf of entries in other failure domains.
 
     :param timers: the timer service.
-    :param surroundings: objects shared by all requests.
+    :param context: objects shared by all requests.
     :param terms_of: returns the terms of the calls for a request.
     :param delays_of: returns the usual delays on a route with a given latency objective.
     :param bind: IP address and port to listen on.
@@ -50,14 +50,14 @@
     def __init__(
         self,
         timers: TimerService,
-        surroundings: Surroundings,
+        context: CallContext,
         terms_of: TermsOf,
         delays_of: Callable[[str, float], Delays],
         bind: tuple[str, int],
     ):
         super().__init__()
         self._timers = timers
-        self._context = surroundings
+        self._context = context
         self._terms_of = terms_of
         self._delays_of = delays_of
         self._by_link: dict[int, _Link] = {}
@@ -141,7 +141,7 @@
 class _DelegatedSearch:
     """A delegated search in progress.
 
-    :param surroundings: objects shared by all requests.
+    :param context: objects shared by all requests.
     :param request: the request.
     :param terms: terms of the call to each shard.
     :param delays: usual delays of such requests at one shard.
@@ -152,14 +152,14 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        context: CallContext,
         request: DelegateRequest,
         terms: CallTerms,
         delays: Delays,
         on_reply: Callable[[DelegateReply], None],
         request_attempts: Callable[[tuple[str, ...], AttemptReport], None],
     ):
-        self._context = surroundings
+        self._context = context
         self._request = request
         self._on_reply = on_reply
         self._parts: dict[str, SearcherReply] = {}
@@ -172,13 +172,13 @@
         caller_request = CallerRequest(
             request.request_id, request.head, request.body, request.left_ms
         )
-        self._story = Story(request.request_id, surroundings.timers.now_ms)
-        self.attempts = RemoteAttemptControl(surroundings.timers, request_attempts)
+        self._trace = RequestTrace(request.request_id, context.timers.now_ms)
+        self.attempts = RemoteAttemptControl(context.timers, request_attempts)
         terms = replace(terms, control=self.attempts)
         self._calls = ShardCalls(
-            surroundings, caller_request, terms, delays, self._on_shard_end, self._story
+            context, caller_request, terms, delays, self._on_shard_end, self._trace
         )
-        self._due_ms = surroundings.timers.now_ms() + request.reply_after_ms
+        self._due_ms = context.timers.now_ms() + request.reply_after_ms
         self._timer: TimerHandle | None = None
 
     def start(self) -> None:
@@ -223,7 +223,7 @@
         missing = {*pending, *failed}
         if missing:
             if not self._reported:
-                self._story.tell(frozenset(missing))
+                self._trace.write_log(frozenset(missing))
             self._reported = True
             log_event(
                 "ask-answered",
--- a/rhubarbhinge/delegation/tests/test_client_server.py
+++ b/rhubarbhinge/delegation/tests/test_client_server.py
@@ -9,8 +9,8 @@
 
 from rhubarbhinge.delegation import DelegateClient, DelegateReply, DelegateRequest, DelegateServer
 from rhubarbhinge.delegation._client import ACCEPT_TIMEOUT_MS
-from rhubarbhinge.fleet import Delays, DomainReach
-from rhubarbhinge.forward import Lost, Surroundings, Why
+from rhubarbhinge.fleet import Delays, DomainReachability
+from rhubarbhinge.forward import CallContext, FailureReason, Lost
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
 from rhubarbhinge.gather import AttemptReport
 from rhubarbhinge.members import Member, Membership, MemberState, PublishedStatus
@@ -32,18 +32,18 @@
         self.hedge_ms = None
         self.grant_policy = lambda services: services
         self.world = FakeWorld(services=("s0", "s1"))
-        around = self.world.around
-        around = Surroundings(
+        context = self.world.context
+        context = CallContext(
             self.timers,
-            around.fleet,
-            around.preference,
-            around.budget,
-            around.send,
-            around.metrics,
+            context.fleet,
+            context.cost_function,
+            context.budget,
+            context.send,
+            context.metrics,
         )
         self.server = DelegateServer(
             self.timers,
-            around,
+            context,
             lambda request, delays: self.world.terms(
                 hedge_ms=self.hedge_ms, deadline_ms=self.timers.now_ms() + 60_000.0
             ),
@@ -63,10 +63,10 @@
             lambda: PublishedStatus(make_revision(0), -1.0),
         )
         self.membership.on_members([OTHER])
-        reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
-        return DelegateClient(self.timers, self.membership, port, random.Random(1), reach).register(
-            self.root
-        )
+        reachability = DomainReachability(self.timers.now_ms, lambda failure_domain: None)
+        return DelegateClient(
+            self.timers, self.membership, port, random.Random(1), reachability
+        ).register(self.root)
 
     def grant(self, services: tuple[str, ...], news: AttemptReport) -> tuple[str, ...]:
         return self.grant_policy(services)
@@ -264,7 +264,7 @@
         self.wait(lambda: self.replies)
         self.assertEqual(set(self.replies[0].pending), {"s0", "s1"})
         run_until(self.root, lambda: False, 0.1)
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.wait(lambda: len(self.world.attempts) == 3)
         run_until(self.root, lambda: False, 0.1)
         self.assertEqual(len(self.replies), 1)
--- a/rhubarbhinge/delegation/tests/test_delegated_sender.py
+++ b/rhubarbhinge/delegation/tests/test_delegated_sender.py
@@ -4,7 +4,7 @@
 
 from rhubarbhinge.delegation import DelegatedSender, DelegateReply, DelegateRequest
 from rhubarbhinge.fleet import Searcher
-from rhubarbhinge.forward import Exchange, Lost, NotRun, Replied, SearchTerms, Why
+from rhubarbhinge.forward import Exchange, FailureReason, Lost, NotRun, Replied, SearchTerms
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeAttempt, FakeWorld
 from rhubarbhinge.gather import AttemptReport
 
@@ -111,15 +111,15 @@
         self.client.reply(None)
         self.send()
         self.reply(ran=False)
-        lost = Lost(Why.BROKEN)
-        expected = [NotRun(Why.UNREACHABLE), lost, lost, NotRun(Why.NO_ROOM)]
+        lost = Lost(FailureReason.BROKEN)
+        expected = [NotRun(FailureReason.UNREACHABLE), lost, lost, NotRun(FailureReason.NO_ROOM)]
         self.assertEqual(self.outcomes, expected)
         self.assertEqual(len(self.remote.started_ms), 0)
 
     def test_reply_for_another_shard_is_a_failure(self):
         self.send()
         self.reply(services=("s1",))
-        self.assertEqual(self.outcomes, [Lost(Why.BROKEN)])
+        self.assertEqual(self.outcomes, [Lost(FailureReason.BROKEN)])
 
     def test_cancel_reports_no_outcome(self):
         attempt = self.send()
--- a/rhubarbhinge/fleet/__init__.py
+++ b/rhubarbhinge/fleet/__init__.py
@@ -1,28 +1,34 @@
-"""Searchers as they are published and as they are observed."""
+"""Searchers as published by the platform and as observed by this process."""
 
-from rhubarbhinge.fleet._choice import MaySend, Preference, always, best_searcher, expected_cost
+from rhubarbhinge.fleet._choice import (
+    CostFunction,
+    MaySend,
+    allow_all,
+    best_searcher,
+    expected_cost,
+)
 from rhubarbhinge.fleet._cold_rule import ColdRule
 from rhubarbhinge.fleet._cold_sends import ColdSends
 from rhubarbhinge.fleet._delays import Delays
-from rhubarbhinge.fleet._domain_reach import DomainReach
+from rhubarbhinge.fleet._domain_reachability import DomainReachability
 from rhubarbhinge.fleet._fleet import Fleet
 from rhubarbhinge.fleet._observed import ObservedSearcher
+from rhubarbhinge.fleet._reported_load import ReportedLoad
 from rhubarbhinge.fleet._searcher import Searcher, SearcherStart
-from rhubarbhinge.fleet._told_load import ToldLoad
 
 __all__ = [
     "ColdRule",
     "ColdSends",
+    "CostFunction",
     "Delays",
-    "DomainReach",
+    "DomainReachability",
     "Fleet",
     "MaySend",
     "ObservedSearcher",
-    "Preference",
+    "ReportedLoad",
     "Searcher",
     "SearcherStart",
-    "ToldLoad",
-    "always",
+    "allow_all",
     "best_searcher",
     "expected_cost",
 ]
--- a/rhubarbhinge/forward/__init__.py
+++ b/rhubarbhinge/forward/__init__.py
@@ -1,47 +1,47 @@
-"""Requests to single searchers: connections, replies, retries and hedges."""
+"""Sends requests to individual searchers: connection pool, reply parsing, retries and hedging."""
 
 from rhubarbhinge.forward._attempt_control import UNLIMITED, AttemptControl, Unlimited
+from rhubarbhinge.forward._call_context import CallContext
 from rhubarbhinge.forward._call_terms import CallTerms
 from rhubarbhinge.forward._caller_request import CallerRequest
 from rhubarbhinge.forward._dialect import Dialect
 from rhubarbhinge.forward._exchange import Attempt, Exchange, SendAttempt
 from rhubarbhinge.forward._fingerprint import fingerprint
-from rhubarbhinge.forward._outcome import Lost, NotRun, Outcome, Replied, Why
+from rhubarbhinge.forward._outcome import FailureReason, Lost, NotRun, Outcome, Replied
 from rhubarbhinge.forward._pool import ConnectionPool
 from rhubarbhinge.forward._reply_reader import RawReply, ReplyReader
-from rhubarbhinge.forward._result import Failed, Passed, Refused, Result
+from rhubarbhinge.forward._request_trace import RequestTrace
+from rhubarbhinge.forward._result import Failed, Refused, ReplyReceived, Result
 from rhubarbhinge.forward._search_terms import SearchTerms
 from rhubarbhinge.forward._searcher_reply import SearcherReply
 from rhubarbhinge.forward._service_call import ServiceCall
-from rhubarbhinge.forward._story import Story
-from rhubarbhinge.forward._surroundings import Surroundings
 
 __all__ = [
     "Attempt",
     "AttemptControl",
+    "CallContext",
     "CallTerms",
     "CallerRequest",
     "ConnectionPool",
     "Dialect",
     "Exchange",
     "Failed",
+    "FailureReason",
     "Lost",
     "NotRun",
     "Outcome",
-    "Passed",
     "RawReply",
     "Refused",
     "Replied",
     "ReplyReader",
+    "ReplyReceived",
+    "RequestTrace",
     "Result",
     "SearchTerms",
     "SearcherReply",
     "SendAttempt",
     "ServiceCall",
-    "Story",
-    "Surroundings",
     "UNLIMITED",
     "Unlimited",
-    "Why",
     "fingerprint",
 ]
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -8,8 +8,8 @@
 from circuits import Component, handler
 
 from rhubarbhinge.delegation import DelegateClient, DelegatedSender, DelegateRequest, DelegateServer
-from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
-from rhubarbhinge.forward import CallTerms, ConnectionPool, Dialect, Surroundings
+from rhubarbhinge.fleet import Delays, DomainReachability, Fleet, ObservedSearcher, expected_cost
+from rhubarbhinge.forward import CallContext, CallTerms, ConnectionPool, Dialect
 from rhubarbhinge.gateway._address import Address
 from rhubarbhinge.gateway._answer_lead_time import AnswerLeadTime
 from rhubarbhinge.gateway._call_terms import ask_terms
@@ -92,28 +92,28 @@
         store_client = HttpClient(self.timers).register(self)
         peer_client = HttpClient(self.timers, accept_gzip=True).register(self)
         self._fleet = Fleet(self.timers.now_ms, self._searcher_removed)
-        self._reach = DomainReach(
+        self._reachability = DomainReachability(
             self.timers.now_ms,
             lambda failure_domain: self._domain_checks.suspect(failure_domain),
             lambda failure_domain: self._domain_checks.on_heard(failure_domain),
         )
         self._pool = ConnectionPool(
-            self.timers, dialect, self._most_connections, self._fleet.mark_gone, self._reach
+            self.timers, dialect, self._most_connections, self._fleet.mark_gone, self._reachability
         ).register(self)
         self._domain_checks = DomainChecks(
             self.timers,
             self._fleet,
             self._pool,
-            self._reach,
+            self._reachability,
             self._rng,
             lambda: self._serving_state.update(),
         )
         self._budget = RetryBudget(settings.retry_budget, self.timers.now_ms, self._processes)
-        preference = expected_cost(settings.failure_domain, self._rng)
-        context = Surroundings(
+        cost_function = expected_cost(settings.failure_domain, self._rng)
+        context = CallContext(
             self.timers,
             self._fleet,
-            preference,
+            cost_function,
             self._budget,
             lambda exchange, on_outcome: self._delegated_sender.send(exchange, on_outcome),
             self._metrics,
@@ -163,7 +163,7 @@
         self.timers.on_pause(lambda late_ms: self._warmup_limiter.on_pause())
         self._connection_limit = connection_limit(self._follower, membership, self._processes)
         delegates = DelegateClient(
-            self.timers, membership, settings.ask_port, self._rng, self._reach
+            self.timers, membership, settings.ask_port, self._rng, self._reachability
         ).register(self)
         prepare = delegates.prepare
         self.timers.every(LINK_CHECK_MS, lambda: prepare(settings.failure_domain))
--- a/rhubarbhinge/gateway/_gateway_dependencies.py
+++ b/rhubarbhinge/gateway/_gateway_dependencies.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct
 
-from rhubarbhinge.forward import Dialect, Surroundings
+from rhubarbhinge.forward import CallContext, Dialect
 from rhubarbhinge.gateway._answer_lead_time import AnswerLeadTime
 from rhubarbhinge.gather import ShardDelegation
 from rhubarbhinge.published import Follower
@@ -28,7 +28,7 @@
     :param quarantine: tracks requests that end the searchers executing them.
     """
 
-    context: Surroundings
+    context: CallContext
     dialect: Dialect
     follower: Follower
     metrics: Metrics
--- a/rhubarbhinge/gateway/_request_handler.py
+++ b/rhubarbhinge/gateway/_request_handler.py
@@ -9,11 +9,11 @@
     CallerRequest,
     CallTerms,
     Failed,
-    Passed,
     Refused,
+    ReplyReceived,
+    RequestTrace,
     Result,
     ServiceCall,
-    Story,
 )
 from rhubarbhinge.gateway._call_terms import call_terms
 from rhubarbhinge.gateway._gateway_dependencies import GatewayDependencies
@@ -80,18 +80,18 @@
         self._transit_ms = transit_ms
         self._answer_by_ms = self._deadline_ms
         self._missing: tuple[str, ...] = ()
-        self._request_log = Story(request.id, self._context.timers.now_ms)
+        self._request_log = RequestTrace(request.id, self._context.timers.now_ms)
         self._timer: TimerHandle | None = None
         self._cancel: Callable[[], None] | None = None
         self._watch: RequestWatch | None = None
 
-    def refuse(self, verdict: Quarantined) -> None:
+    def refuse(self, decision: Quarantined) -> None:
         """Refuse the request because it ends the searchers that execute it.
 
-        :param verdict: the quarantine verdict on the request.
+        :param decision: the quarantine decision on the request.
         """
         message = "Searchers end that execute this request."
-        answer = refused("quarantined", message, verdict.retry_after_ms)
+        answer = refused("quarantined", message, decision.retry_after_ms)
         self._answer(answer, "quarantined")
 
     def watch(self, one_first: bool) -> None:
@@ -193,28 +193,30 @@
             self._answer(self._refusal("timeout", "No searcher had room in time."), "timeout")
 
     def _on_forwarded(self, call: ServiceCall, result: Result) -> None:
-        if isinstance(result, Passed):
+        if isinstance(result, ReplyReceived):
             self._forward_reply(result)
         elif isinstance(result, Refused):
-            why = result.why.value if result.why else "no-searcher"
+            why = result.reason.value if result.reason else "no-searcher"
             self._answer(self._refusal(why, "No searcher took the request."), why)
         elif isinstance(result, Failed):
-            why = result.why.value if result.why else "failed"
+            why = result.reason.value if result.reason else "failed"
             self._answer(failed(why, "The searcher's reply did not come."), why)
 
-    def _forward_reply(self, result: Passed) -> None:
+    def _forward_reply(self, result: ReplyReceived) -> None:
         reply = result.reply
         if reply.status in NOT_RUN_STATUSES:
             # Callers would conclude that the request was not executed, which is not known.
             self._answer(failed("searcher-failed", "The searcher failed."), "searcher-failed")
         else:
-            self._answer(self._dependencies.dialect.passed_on(reply), "passed")
+            self._answer(self._dependencies.dialect.encode_reply(reply), "passed")
 
     def _on_gathered(self, result: Gathered | TooFewShards) -> None:
         missing = len(result.missing)
         self._missing = result.missing
         if isinstance(result, Gathered):
-            answer = self._dependencies.dialect.merged(result.signatures, missing, result.body)
+            answer = self._dependencies.dialect.encode_merged(
+                result.signatures, missing, result.body
+            )
             self._answer(answer, "gathered", missing)
             self._dependencies.lead_time.on_answered(self._route.name, answer)
             if result.at_due_time:
@@ -259,9 +261,9 @@
 
     def _log(self, why: str, status: int, missing: int = 0) -> None:
         if why == "sampled" or not (_is_success(status) or status == CALLER_GONE):
-            self._request_log.tell()
+            self._request_log.write_log()
         elif missing:
-            self._request_log.tell(frozenset(self._missing))
+            self._request_log.write_log(frozenset(self._missing))
         log_event(
             "request-ended",
             request=self._request.id,
--- a/rhubarbhinge/gateway/tests/test_fatal_requests.py
+++ b/rhubarbhinge/gateway/tests/test_fatal_requests.py
@@ -47,8 +47,12 @@
         worlds = [self.simulate(seed) for seed in range(12)]
         for simulation in worlds:
             for entry in simulation.entries.values():
-                convicted = {one.fingerprint for one in entry.quarantine.told() if one.convicts}
-                self.assertLessEqual(convicted, {FATAL})
+                quarantined = {
+                    one.fingerprint
+                    for one in entry.quarantine.suspicions_to_send()
+                    if one.quarantined
+                }
+                self.assertLessEqual(quarantined, {FATAL})
         self.assertTrue(any(len(simulation.searchers.ends_ms) >= 10 for simulation in worlds))
         self.assertTrue(any(simulation.faults.pause for simulation in worlds))
         self.assertTrue(any(simulation.datagram_loss for simulation in worlds))
--- a/rhubarbhinge/gateway/tests/test_gateway.py
+++ b/rhubarbhinge/gateway/tests/test_gateway.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from rhubarbhinge.forward import CallerRequest, Lost, NotRun, SearcherReply, Why
+from rhubarbhinge.forward import CallerRequest, FailureReason, Lost, NotRun, SearcherReply
 from rhubarbhinge.forward.tests.fakes import FakeWorld, replied
 from rhubarbhinge.gateway import AnswerLeadTime, Gateway, GatewayDependencies
 from rhubarbhinge.gateway._request_handler import SAMPLING_INTERVAL
@@ -20,14 +20,14 @@
 
 
 class FakeDialect:
-    def caller_request(self, request: Request) -> CallerRequest:
+    def decode_request(self, request: Request) -> CallerRequest:
         wait_ms = request.headers.get("wait")
         return CallerRequest("r1", b"", request.body, float(wait_ms) if wait_ms else None)
 
-    def passed_on(self, reply: SearcherReply) -> Response:
+    def encode_reply(self, reply: SearcherReply) -> Response:
         return Response(reply.status, reply.body)
 
-    def merged(self, signatures: tuple[str, ...], missing: int, body: bytes) -> Response:
+    def encode_merged(self, signatures: tuple[str, ...], missing: int, body: bytes) -> Response:
         return Response(200, body, (("missing", str(missing)),))
 
 
@@ -63,7 +63,7 @@
         self.link_bits_per_ms = 0.0
         self.metrics = self.world.metrics
         dependencies = GatewayDependencies(
-            self.world.around,
+            self.world.context,
             FakeDialect(),
             self.follower,
             self.metrics,
@@ -134,7 +134,7 @@
         self.world.timers.advance(50.0)
         self.world.attempts[1].end(replied())
         self.ask("/once/x")
-        self.world.attempts[2].end(Lost(Why.BROKEN))
+        self.world.attempts[2].end(Lost(FailureReason.BROKEN))
         text = self.metrics.render().decode()
         for part in ('kind="base"', 'kind="hedge"', 'code="broken"', 'class="one"'):
             self.assertIn(part, text)
@@ -155,14 +155,14 @@
     def test_request_refused_by_all_searchers_gets_retry_after(self):
         self.ask("/once/x")
         for _ in range(4):
-            self.world.attempts[-1].end(NotRun(Why.NO_ROOM))
+            self.world.attempts[-1].end(NotRun(FailureReason.NO_ROOM))
             self.world.timers.advance(25.0)
         self.assertEqual(self.status(), 503)
         self.assertGreater(self.retry_after(), 0.0)
 
     def test_request_that_may_have_run_is_not_refused(self):
         self.ask("/once/x")
-        self.world.attempts[0].end(Lost(Why.BROKEN))
+        self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.assertEqual(self.status(), 502)
 
     def test_route_timeout_cancels_the_attempt(self):
@@ -252,13 +252,13 @@
 
     def test_requests_that_no_entry_can_serve_do_not_affect_readiness(self):
         for name in ("s0", "s1", "s2", "s3"):
-            for observed in list(self.world.fleet.of(name)):
+            for observed in list(self.world.fleet.of_service(name)):
                 self.world.fleet.remove(observed.searcher.incarnation)
         for _ in range(3):
             self.ask("/all/x")
         self.assertTrue(self.gateway.can_serve())
         self.ask("/one/x")
-        for observed in self.world.fleet.of("one"):
+        for observed in self.world.fleet.of_service("one"):
             observed.on_unreachable()
         self.assertFalse(self.gateway.can_serve())
 
--- a/rhubarbhinge/gather/_scatter_gather.py
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.fleet import Delays
-from rhubarbhinge.forward import CallerRequest, Story, Surroundings
+from rhubarbhinge.forward import CallContext, CallerRequest, RequestTrace
 from rhubarbhinge.gather._gather_terms import GatherTerms
 from rhubarbhinge.gather._merge import merge_greatest
 from rhubarbhinge.gather._results import Gathered, TooFewShards
@@ -31,13 +31,13 @@
 
     def __init__(
         self,
-        context: Surroundings,
+        context: CallContext,
         request: CallerRequest,
         terms: GatherTerms,
         delays: Delays,
         delegation: ShardDelegation,
         on_end: Callable[[Gathered | TooFewShards], None],
-        request_log: Story,
+        request_log: RequestTrace,
     ):
         self._context = context
         self._request = request
@@ -132,7 +132,7 @@
         again.
         """
         for ended in report.ended:
-            self._control.on_ended(ended.service, ended.mark)
+            self._control.on_searcher_exited(ended.service, ended.mark)
         if report.replied:
             self._control.on_replied("")
         _, services = self._delegated.get(address, (None, ()))
@@ -164,7 +164,7 @@
         self._request_log.note("ask-ended", ",".join(services), entry=address, parts=in_time)
         for name in services:
             if part is None or name not in part.pending:
-                self._control.on_over(name)
+                self._control.on_call_finished(name)
         if part is None or not _is_valid(part, services):
             # The records of unexpected shards cannot be separated from the rest of the part.
             ask.cancel()
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -7,14 +7,14 @@
 
 from rhubarbhinge.fleet import Delays
 from rhubarbhinge.forward import (
+    CallContext,
     CallerRequest,
     CallTerms,
-    Passed,
+    ReplyReceived,
+    RequestTrace,
     Result,
     SearcherReply,
     ServiceCall,
-    Story,
-    Surroundings,
 )
 
 NO_PRIOR_ATTEMPTS: Mapping[str, int] = MappingProxyType({})
@@ -49,12 +49,12 @@
 
     def __init__(
         self,
-        context: Surroundings,
+        context: CallContext,
         request: CallerRequest,
         terms: CallTerms,
         delays: Delays,
         on_end: Callable[[ShardOutcome], None],
-        request_log: Story,
+        request_log: RequestTrace,
     ):
         self._context = context
         self._request = request
@@ -115,6 +115,6 @@
     def _on_call_end(self, call: ServiceCall, result: Result) -> None:
         if self._calls.pop(call.service, None) is None:
             return
-        reply = result.reply if isinstance(result, Passed) else None
+        reply = result.reply if isinstance(result, ReplyReceived) else None
         usable_reply = reply if reply is not None and reply.succeeded and reply.signature else None
         self._on_end(ShardOutcome(call.service, usable_reply, call.arrived, call.may_have_run))
--- a/rhubarbhinge/gather/tests/scatter_gather_case.py
+++ b/rhubarbhinge/gather/tests/scatter_gather_case.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbhinge.forward import UNLIMITED, AttemptControl, Lost, Story, Why
+from rhubarbhinge.forward import UNLIMITED, AttemptControl, FailureReason, Lost, RequestTrace
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 from rhubarbhinge.gather import (
     AttemptReport,
@@ -68,13 +68,13 @@
             self.world.terms(hedge_ms=hedge_ms, control=control),
         )
         self.search = ScatterGather(
-            self.world.around,
+            self.world.context,
             REQUEST,
             terms,
             self.world.delays,
             self.delegated.delegation,
             self.ends.append,
-            Story("r1", self.world.timers.now_ms),
+            RequestTrace("r1", self.world.timers.now_ms),
         )
         self.search.start()
 
@@ -87,4 +87,4 @@
     def lose(self, service: str) -> None:
         for attempt in list(self.world.attempts):
             if attempt.service == service:
-                attempt.end(Lost(Why.BROKEN))
+                attempt.end(Lost(FailureReason.BROKEN))
--- a/rhubarbhinge/gather/tests/test_ended_searchers.py
+++ b/rhubarbhinge/gather/tests/test_ended_searchers.py
@@ -5,7 +5,7 @@
 entry. Harmless searches that lose half or all of their first searchers to a crash must complete.
 """
 
-from rhubarbhinge.forward import Lost, NotRun, Why
+from rhubarbhinge.forward import FailureReason, Lost, NotRun
 from rhubarbhinge.gather import AttemptReport, EndedSearcher, ShardDelegation
 from rhubarbhinge.gather.tests.scatter_gather_case import SHARDS, ScatterGatherCase
 from rhubarbhinge.quarantine import RequestWatch
@@ -28,7 +28,7 @@
             if attempt.service in services and not attempt.cancelled and not attempt.ended:
                 attempt.ended = True
                 self.world.observed(attempt.name).on_unreachable()
-                attempt.end(Lost(Why.BROKEN, searcher_ended=True))
+                attempt.end(Lost(FailureReason.BROKEN, searcher_exited=True))
 
     def test_fatal_request_ends_one_searcher_per_shard_and_one_more(self):
         self.start()
@@ -123,7 +123,7 @@
         self.start(one_first=True)
         for name in ("s0-1", "s0-2"):
             self.world.fleet.mark_gone(self.world.observed(name))
-        self.world.attempts[0].end(NotRun(Why.LEAVING))
+        self.world.attempts[0].end(NotRun(FailureReason.LEAVING))
         self.world.timers.advance(200.0)
         self.assertEqual({one.service for one in self.world.attempts}, {"s0", "s1"})
         self.answer("s1")
--- a/rhubarbhinge/gather/tests/test_scatter_gather.py
+++ b/rhubarbhinge/gather/tests/test_scatter_gather.py
@@ -1,6 +1,6 @@
 """Tests for scatter-gather searches: when they are answered, and with what."""
 
-from rhubarbhinge.forward import NotRun, Story, Why
+from rhubarbhinge.forward import FailureReason, NotRun, RequestTrace
 from rhubarbhinge.forward.tests.fakes import REQUEST, FakeWorld, replied
 from rhubarbhinge.gather import (
     Gathered,
@@ -76,13 +76,13 @@
             "route", ShardSet(SHARDS, 2, 0.75), 100.0, 1_090.0, world.terms(hedge_ms=None)
         )
         ScatterGather(
-            world.around,
+            world.context,
             REQUEST,
             terms,
             world.delays,
             self.delegated.delegation,
             ends.append,
-            Story("r1", world.timers.now_ms),
+            RequestTrace("r1", world.timers.now_ms),
         ).start()
         world.timers.advance(0.0)
         self.assertEqual(ends, [TooFewShards(SHARDS, False)])
@@ -102,7 +102,7 @@
         self.start(min_coverage=0.25)
         for _ in range(8):
             for attempt in list(self.world.attempts):
-                attempt.end(NotRun(Why.NO_ROOM))
+                attempt.end(NotRun(FailureReason.NO_ROOM))
             self.world.timers.advance(25.0)
         self.assertEqual(self.ends, [TooFewShards(SHARDS, False)])
 
--- a/rhubarbhinge/members/_heartbeat.py
+++ b/rhubarbhinge/members/_heartbeat.py
@@ -8,7 +8,7 @@
 
 from rhubarbhinge.members._member import Member, MemberState
 from rhubarbhinge.members._members_codec import WireMember
-from rhubarbhinge.quarantine import ToldSuspicion
+from rhubarbhinge.quarantine import SuspicionMessage
 from rhubarbhinge.utils.bounded_types import AgeMs, Count, Milliseconds, Name
 from rhubarbhinge.utils.revision import Revision
 from rhubarbhinge.utils.strict_json import json_decoder
@@ -66,7 +66,7 @@
     members_digest: int
     domain_ages_ms: Mapping[str, float] = field(default_factory=dict)
     updates: tuple[Member, ...] = ()
-    suspicions: tuple[ToldSuspicion, ...] = ()
+    suspicions: tuple[SuspicionMessage, ...] = ()
     plan_version: int = 0
 
     def sender(self, ip: str) -> Member:
@@ -96,7 +96,7 @@
     members_digest: Count
     domain_ages_ms: Annotated[dict[Name, Milliseconds], msgspec.Meta(max_length=MAX_DOMAINS)]
     updates: Annotated[list[WireMember], msgspec.Meta(max_length=MAX_UPDATES)]
-    suspicions: Annotated[list[ToldSuspicion], msgspec.Meta(max_length=MAX_SUSPICIONS)] = []
+    suspicions: Annotated[list[SuspicionMessage], msgspec.Meta(max_length=MAX_SUSPICIONS)] = []
     era: Count = 0
     plan_version: Count = 0
 
--- a/rhubarbhinge/peers/_quarantine_gossip.py
+++ b/rhubarbhinge/peers/_quarantine_gossip.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from rhubarbhinge.members import Membership
-from rhubarbhinge.quarantine import Quarantine, ToldSuspicion
+from rhubarbhinge.quarantine import Quarantine, SuspicionMessage
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils import rendezvous
 
@@ -57,21 +57,24 @@
             self._is_scheduled = True
             self._timers.after(wait_ms, self._send_round)
 
-    def outgoing(self) -> tuple[ToldSuspicion, ...]:
+    def outgoing(self) -> tuple[SuspicionMessage, ...]:
         """Return the suspicions for one heartbeat, part of them chosen at random for each receiver.
 
         :returns: the suspicions.
         """
         now_ms = self._timers.now_ms()
-        return tuple(ToldSuspicion.of(known, now_ms) for known in self._quarantine.told())
+        return tuple(
+            SuspicionMessage.from_suspicion(known, now_ms)
+            for known in self._quarantine.suspicions_to_send()
+        )
 
-    def receive(self, suspicions: Iterable[ToldSuspicion]) -> None:
+    def receive(self, suspicions: Iterable[SuspicionMessage]) -> None:
         """Process the suspicions of a heartbeat, and forward them if any was new.
 
         :param suspicions: the suspicions.
         """
         now_ms = self._timers.now_ms()
-        if self._quarantine.take([one.suspicion(now_ms) for one in suspicions]):
+        if self._quarantine.merge([one.to_suspicion(now_ms) for one in suspicions]):
             self.announce()
 
     def may_try(self, fingerprint: str) -> bool:
--- a/rhubarbhinge/published/tests/test_starts.py
+++ b/rhubarbhinge/published/tests/test_starts.py
@@ -137,7 +137,9 @@
 
     def check(self) -> None:
         for one in self.fleet.all():
-            assert one.searcher in {two.searcher for two in self.fleet.of(one.searcher.service)}
+            assert one.searcher in {
+                two.searcher for two in self.fleet.of_service(one.searcher.service)
+            }
             name, start_unix_ms = one.searcher.incarnation, one.searcher.started_unix_ms
             if start_unix_ms is not None:
                 assert start_unix_ms >= self.latest_starts.get(
