--- a/rhubarbhinge/query/__init__.py
+++ b/rhubarbhinge/query/__init__.py
@@ -1,18 +1,18 @@
 """Queries over many shards: plan, snapshot pin, coverage, hedges, merge, deadline."""
 
-from rhubarbhinge.query._budget import ExtraLoadBudget
 from rhubarbhinge.query._catalog import FIRST_KEY, LAST_KEY, Catalog
 from rhubarbhinge.query._core import QueryCore, all_answers
 from rhubarbhinge.query._effects import Answer, Effect, QueryStats, SendBatch, SendCancel, Shortfall
-from rhubarbhinge.query._latency import LatencyWindow
+from rhubarbhinge.query._extra_load_budget import ExtraLoadBudget
+from rhubarbhinge.query._key_range import KeyRange
+from rhubarbhinge.query._latency_histogram import LatencyHistogram
 from rhubarbhinge.query._missing import Missing
 from rhubarbhinge.query._plan import Gap, Plan
 from rhubarbhinge.query._policy import QueryPolicy
-from rhubarbhinge.query._relaytarget import RelayTarget
-from rhubarbhinge.query._scores import ReplicaScores
-from rhubarbhinge.query._searchrequest import SearchRequest
-from rhubarbhinge.query._tile import Tile
-from rhubarbhinge.query._tiling import tiling
+from rhubarbhinge.query._range_selection import select_ranges
+from rhubarbhinge.query._relay_target import RelayTarget
+from rhubarbhinge.query._replica_scores import ReplicaScores
+from rhubarbhinge.query._search_request import SearchRequest
 
 __all__ = [
     "FIRST_KEY",
@@ -22,7 +22,7 @@
     "Effect",
     "ExtraLoadBudget",
     "Gap",
-    "LatencyWindow",
+    "LatencyHistogram",
     "Missing",
     "Plan",
     "QueryCore",
@@ -34,7 +34,7 @@
     "SendBatch",
     "SendCancel",
     "Shortfall",
-    "Tile",
+    "KeyRange",
     "all_answers",
-    "tiling",
+    "select_ranges",
 ]
--- a/rhubarbhinge/query/_catalog.py
+++ b/rhubarbhinge/query/_catalog.py
@@ -3,19 +3,19 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
+from rhubarbhinge.query._key_range import KeyRange
 from rhubarbhinge.query._plan import Gap, Plan
-from rhubarbhinge.query._tile import Tile
-from rhubarbhinge.query._tiling import tiling
+from rhubarbhinge.query._range_selection import select_ranges
 from rhubarbhinge.wire import HoldingReport, UpstreamState
 
 #: The key space of every collection (docs/architecture.md).
 FIRST_KEY = 0
 LAST_KEY = 65_536
 
-_Range = tuple[int, int]
+_Span = tuple[int, int]
 _Snapshot = tuple[str, int]
-_HEARD_FROM = frozenset({UpstreamState.READY, UpstreamState.WARMING})
-_USABLE = _HEARD_FROM | {UpstreamState.UNKNOWN}
+_REACHABLE_STATES = frozenset({UpstreamState.READY, UpstreamState.WARMING})
+_USABLE_STATES = _REACHABLE_STATES | {UpstreamState.UNKNOWN}
 
 
 class Catalog:
@@ -25,8 +25,8 @@
         self._report_by_upstream: dict[int, HoldingReport] = {}
         self._state_by_upstream: dict[int, UpstreamState] = {}
         self._draining: set[int] = set()
-        self._holders: dict[str, dict[int, dict[_Range, set[int]]]] = {}
-        self._records: dict[_Snapshot, dict[_Range, int]] = {}
+        self._holders: dict[str, dict[int, dict[_Span, set[int]]]] = {}
+        self._records: dict[_Snapshot, dict[_Span, int]] = {}
         self._totals: dict[_Snapshot, int] = {}
         self._plans: dict[tuple[str, frozenset[int]], Plan] = {}
         self._stale = False
@@ -53,13 +53,13 @@
         :param upstream_id: the searcher.
         :param state: what its relay sees.
         """
-        before = self.usable(upstream_id)
+        was_usable = self.usable(upstream_id)
         self._state_by_upstream[upstream_id] = state
         if state is UpstreamState.DRAINING:
             self._draining.add(upstream_id)
-        elif state in _HEARD_FROM:
+        elif state in _REACHABLE_STATES:
             self._draining.discard(upstream_id)
-        if self.usable(upstream_id) != before:
+        if self.usable(upstream_id) != was_usable:
             self._plans.clear()
 
     def forget(self, upstream_ids: Iterable[int]) -> None:
@@ -86,7 +86,7 @@
         :param upstream_id: the searcher.
         :returns: False when it drains or is down.
         """
-        return upstream_id not in self._draining and self.state(upstream_id) in _USABLE
+        return upstream_id not in self._draining and self.state(upstream_id) in _USABLE_STATES
 
     def state(self, upstream_id: int) -> UpstreamState:
         """Give a searcher's state.
@@ -105,20 +105,20 @@
         self._refresh()
         return tuple(sorted(self._holders.get(collection, ()), reverse=True))
 
-    def plan(self, collection: str, without: frozenset[int] = frozenset()) -> Plan:
+    def plan(self, collection: str, excluded: frozenset[int] = frozenset()) -> Plan:
         """Pin an index version and choose the ranges that answer.
 
         The version that reaches the most records wins, the newest among equals.
 
         :param collection: its name.
-        :param without: versions that were tried and are gone.
-        :returns: the plan; without tiles when nothing is announced.
+        :param excluded: versions that were tried and are gone.
+        :returns: the plan; without ranges when nothing is announced.
         """
         self._refresh()
-        key = (collection, without)
+        key = (collection, excluded)
         plan = self._plans.get(key)
         if plan is None:
-            plan = self._plans[key] = self._make_plan(collection, without)
+            plan = self._plans[key] = self._make_plan(collection, excluded)
         return plan
 
     def holders(self, collection: str, version: int, lo: int, hi: int) -> tuple[int, ...]:
@@ -135,51 +135,51 @@
         found = {number for span in holders for number in holders[span] if _covers(span, lo, hi)}
         return tuple(sorted(found))
 
-    def tiles(self, collection: str, version: int, lo: int, hi: int) -> tuple[Tile, ...]:
+    def split_range(self, collection: str, version: int, lo: int, hi: int) -> tuple[KeyRange, ...]:
         """Cut a range anew, after its shard has moved.
 
         :param collection: its name.
         :param version: the pinned version.
         :param lo: first key.
         :param hi: key after the last.
-        :returns: disjoint tiles within the range.
+        :returns: disjoint ranges within the range.
         """
         self._refresh()
-        return tiling(self._announced(collection, version), lo, hi)[0]
+        return select_ranges(self._announced(collection, version), lo, hi)[0]
 
-    def _make_plan(self, collection: str, without: frozenset[int]) -> Plan:
+    def _make_plan(self, collection: str, excluded: frozenset[int]) -> Plan:
         best = Plan(0, 0, (), (Gap(FIRST_KEY, LAST_KEY),))
         best_share = -1.0
         for version in self.versions(collection):
-            if version in without:
+            if version in excluded:
                 continue
-            plan = self._plan_of(collection, version)
+            plan = self._plan_for_version(collection, version)
             share = plan.reachable_share()
             if share > best_share:
                 best = plan
                 best_share = share
         return best
 
-    def _plan_of(self, collection: str, version: int) -> Plan:
-        tiles, gaps = tiling(self._announced(collection, version), FIRST_KEY, LAST_KEY)
-        reachable = sum(tile.records for tile in tiles)
+    def _plan_for_version(self, collection: str, version: int) -> Plan:
+        ranges, gaps = select_ranges(self._announced(collection, version), FIRST_KEY, LAST_KEY)
+        reachable = sum(key_range.records for key_range in ranges)
         total = max(self._totals[collection, version], reachable)
-        return Plan(version, total, tiles, gaps)
+        return Plan(version, total, ranges, gaps)
 
-    def _announced(self, collection: str, version: int) -> list[Tile]:
+    def _announced(self, collection: str, version: int) -> list[KeyRange]:
         holders = self._holders.get(collection, {}).get(version, {})
         records = self._records.get((collection, version), {})
-        tiles = []
+        ranges = []
         for span, exact in holders.items():
             usable = [upstream_id for upstream_id in exact if self.usable(upstream_id)]
-            wider = self._wider(holders, span)
+            wider = self._wider_holders(holders, span)
             usable += [upstream_id for upstream_id in wider if self.usable(upstream_id)]
             if usable:
-                tiles.append(Tile(*span, records[span], tuple(sorted(set(usable)))))
-        return tiles
+                ranges.append(KeyRange(*span, records[span], tuple(sorted(set(usable)))))
+        return ranges
 
     @staticmethod
-    def _wider(holders: dict[_Range, set[int]], span: _Range) -> list[int]:
+    def _wider_holders(holders: dict[_Span, set[int]], span: _Span) -> list[int]:
         lo, hi = span
         found = []
         for other, upstream_ids in holders.items():
@@ -195,17 +195,17 @@
     def _rebuild(self) -> None:
         self._plans.clear()
         self._holders = {}
-        counts: dict[_Snapshot, dict[_Range, Counter[int]]] = defaultdict(_new_counters)
+        counts: dict[_Snapshot, dict[_Span, Counter[int]]] = defaultdict(_new_counters)
         totals: dict[_Snapshot, Counter[int]] = defaultdict(Counter)
         for report in self._report_by_upstream.values():
-            self._take_ranges(report, counts)
+            self._count_ranges(report, counts)
             for snapshot, total in _totals_of(report).items():
                 totals[snapshot][total] += 1
-        self._records = {snapshot: _agreed_counts(spans) for snapshot, spans in counts.items()}
-        self._totals = {snapshot: _agreed_total(votes) for snapshot, votes in totals.items()}
+        self._records = {snapshot: _majority_counts(spans) for snapshot, spans in counts.items()}
+        self._totals = {snapshot: _majority_total(votes) for snapshot, votes in totals.items()}
 
-    def _take_ranges(
-        self, report: HoldingReport, counts: dict[_Snapshot, dict[_Range, Counter[int]]]
+    def _count_ranges(
+        self, report: HoldingReport, counts: dict[_Snapshot, dict[_Span, Counter[int]]]
     ) -> None:
         rows = zip(
             report.collections,
@@ -221,11 +221,11 @@
             counts[collection, version][lo, hi][count] += 1
 
 
-def _covers(span: _Range, lo: int, hi: int) -> bool:
+def _covers(span: _Span, lo: int, hi: int) -> bool:
     return span[0] <= lo and hi <= span[1]
 
 
-def _new_counters() -> dict[_Range, Counter[int]]:
+def _new_counters() -> dict[_Span, Counter[int]]:
     return defaultdict(Counter)
 
 
@@ -234,15 +234,15 @@
     return dict(zip(snapshots, report.total_records, strict=True))
 
 
-def _agreed_counts(spans: dict[_Range, Counter[int]]) -> dict[_Range, int]:
-    return {span: _agreed_count(votes) for span, votes in spans.items()}
+def _majority_counts(spans: dict[_Span, Counter[int]]) -> dict[_Span, int]:
+    return {span: _majority_count(votes) for span, votes in spans.items()}
 
 
-def _agreed_count(votes: Counter[int]) -> int:
+def _majority_count(votes: Counter[int]) -> int:
     """Choose what most searchers say; the lowest among equals, so as not to overstate."""
     return max(votes, key=lambda count: (votes[count], -count))
 
 
-def _agreed_total(votes: Counter[int]) -> int:
+def _majority_total(votes: Counter[int]) -> int:
     """Choose what most searchers say; the highest among equals, so as not to overstate."""
     return max(votes, key=lambda total: (votes[total], total))
--- a/rhubarbhinge/query/_core.py
+++ b/rhubarbhinge/query/_core.py
@@ -3,23 +3,23 @@
 import random
 from collections.abc import Iterable
 
-from rhubarbhinge.query._answering import take_ending
-from rhubarbhinge.query._beginning import begin
-from rhubarbhinge.query._call import Call
 from rhubarbhinge.query._catalog import Catalog
+from rhubarbhinge.query._completion import cancel_and_remove, finish, finish_if_decided
 from rhubarbhinge.query._effects import Answer, Effect, Shortfall
-from rhubarbhinge.query._ending import end, finish, settle
 from rhubarbhinge.query._hedging import hedge, schedule
+from rhubarbhinge.query._planning import plan_and_send
 from rhubarbhinge.query._policy import QueryPolicy
-from rhubarbhinge.query._querystate import IsExpected, QueryState, RelayOf
-from rhubarbhinge.query._resending import lose_relay, resend_waiting
-from rhubarbhinge.query._searchrequest import SearchRequest
+from rhubarbhinge.query._query import Query
+from rhubarbhinge.query._retrying import resend_lost, resend_waiting
+from rhubarbhinge.query._search_request import SearchRequest
+from rhubarbhinge.query._shared_query_state import FindRelay, IsRelayExpected, SharedQueryState
+from rhubarbhinge.query._sub_replies import handle_outcome
 from rhubarbhinge.wire import ReplyBatch, UpstreamReport, UpstreamState
 
 _STATES = {int(state): state for state in UpstreamState}
 
 
-def _never(upstream_id: int) -> bool:
+def _no_relay_expected(upstream_id: int) -> bool:
     return False
 
 
@@ -38,11 +38,11 @@
         self,
         policy: QueryPolicy,
         catalog: Catalog,
-        relay_of: RelayOf,
+        relay_of: FindRelay,
         rng: random.Random,
-        is_expected: IsExpected = _never,
+        is_expected: IsRelayExpected = _no_relay_expected,
     ) -> None:
-        self._state = QueryState(policy, catalog, relay_of, rng, is_expected)
+        self._state = SharedQueryState(policy, catalog, relay_of, rng, is_expected)
         self._sequence = 0
 
     def in_flight(self) -> int:
@@ -50,7 +50,7 @@
 
         :returns: the number.
         """
-        return len(self._state.open.calls)
+        return len(self._state.open.queries)
 
     def next_due_ms(self) -> float | None:
         """Give the time of the next tick that has something to do.
@@ -67,11 +67,11 @@
         :returns: sub-queries to send, or the answer when nothing can be asked.
         """
         self._sequence += 1
-        call = Call(self._sequence, request, now_ms)
-        self._state.open.add(call)
-        effects = begin(self._state, call, now_ms)
-        if self._state.open.is_open(call):
-            schedule(self._state, call, now_ms)
+        query = Query(self._sequence, request, now_ms)
+        self._state.open.add(query)
+        effects = plan_and_send(self._state, query, now_ms)
+        if self._state.open.is_open(query):
+            schedule(self._state, query, now_ms)
         return effects + self._flush(now_ms)
 
     def on_reply(self, relay: str, batch: ReplyBatch, now_ms: float) -> list[Effect]:
@@ -94,8 +94,8 @@
             strict=True,
         )
         for call_id, number, attempt_number, outcome, wait_ms, body in rows:
-            call = state.open.calls.get(call_id)
-            part = call.parts.get(number) if call else None
+            query = state.open.queries.get(call_id)
+            part = query.parts.get(number) if query else None
             attempt = part.attempts.get(attempt_number) if part else None
             if attempt is None or attempt.target.name != relay:
                 continue
@@ -103,7 +103,7 @@
             state.scores.on_ended(attempt.upstream_id)
             if not part.done:
                 part.wait_ms = wait_ms
-                effects += take_ending(state, call, part, attempt, outcome, body, now_ms)
+                effects += handle_outcome(state, query, part, attempt, outcome, body, now_ms)
         return effects + self._flush(now_ms)
 
     def on_report(self, report: UpstreamReport) -> None:
@@ -131,9 +131,9 @@
         :returns: what follows.
         """
         effects: list[Effect] = []
-        for call in list(self._state.open.calls.values()):
-            for part in list(call.parts.values()):
-                effects += lose_relay(self._state, call, part, relay, now_ms)
+        for query in list(self._state.open.queries.values()):
+            for part in list(query.parts.values()):
+                effects += resend_lost(self._state, query, part, relay, now_ms)
         return effects + self._flush(now_ms)
 
     def abandon(self, request_id: int, now_ms: float) -> list[Effect]:
@@ -143,9 +143,9 @@
         :param now_ms: the time.
         :returns: cancels.
         """
-        call = self._state.open.of_request(request_id)
-        if call is not None:
-            end(self._state, call, now_ms)
+        query = self._state.open.of_request(request_id)
+        if query is not None:
+            cancel_and_remove(self._state, query, now_ms)
         return self._flush(now_ms)
 
     def tick(self, now_ms: float) -> list[Effect]:
@@ -155,19 +155,19 @@
         :returns: what follows.
         """
         effects: list[Effect] = []
-        while (call := self._state.open.pop_due(now_ms)) is not None:
-            effects += self._look(call, now_ms)
+        while (query := self._state.open.pop_due(now_ms)) is not None:
+            effects += self._process_due(query, now_ms)
         return effects + self._flush(now_ms)
 
-    def _look(self, call: Call, now_ms: float) -> list[Effect]:
+    def _process_due(self, query: Query, now_ms: float) -> list[Effect]:
         state = self._state
-        if now_ms >= call.deadline_ms - state.policy.answer_margin_ms:
-            return [finish(state, call, now_ms)]
-        answered = settle(state, call, now_ms) or resend_waiting(state, call, now_ms)
+        if now_ms >= query.deadline_ms - state.policy.answer_margin_ms:
+            return [finish(state, query, now_ms)]
+        answered = finish_if_decided(state, query, now_ms) or resend_waiting(state, query, now_ms)
         if answered:
             return answered
-        hedge(state, call, now_ms)
-        schedule(state, call, now_ms)
+        hedge(state, query, now_ms)
+        schedule(state, query, now_ms)
         return []
 
     def _flush(self, now_ms: float) -> list[Effect]:
--- a/rhubarbhinge/query/_tile.py
+++ b/rhubarbhinge/query/_key_range.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tile:
+class KeyRange:
     """One range of one index version.
 
     :param lo: first key.
--- a/rhubarbhinge/query/_latency.py
+++ b/rhubarbhinge/query/_latency_histogram.py
@@ -10,17 +10,17 @@
 #: The last bucket starts near 10 minutes.
 _BUCKETS = 320
 #: After so many samples all counts are halved, so that the past fades.
-_FADE_SAMPLES = 4096
+_DECAY_SAMPLES = 4096
 #: Quantiles are worked out again after so many samples.
 _REFRESH_SAMPLES = 128
 
 
-class LatencyWindow:
+class LatencyHistogram:
     """Fading log-spaced histogram of one stream of latencies."""
 
     def __init__(self) -> None:
         self._counts = [0.0] * _BUCKETS
-        self._since_fade = 0
+        self._since_decay = 0
         self._since_refresh = 0
         self._total = 0.0
         self._quantiles: dict[float, float] = {}
@@ -30,10 +30,10 @@
 
         :param latency_ms: milliseconds.
         """
-        place = int(math.log(latency_ms / _FIRST_MS) / _LOG_RATIO) if latency_ms > _FIRST_MS else 0
-        self._counts[min(place, _BUCKETS - 1)] += 1
+        index = int(math.log(latency_ms / _FIRST_MS) / _LOG_RATIO) if latency_ms > _FIRST_MS else 0
+        self._counts[min(index, _BUCKETS - 1)] += 1
         self._total += 1
-        self._since_fade += 1
+        self._since_decay += 1
         self._since_refresh += 1
         if self._since_refresh >= _REFRESH_SAMPLES:
             self._refresh()
@@ -55,16 +55,16 @@
     def _refresh(self) -> None:
         self._since_refresh = 0
         self._quantiles.clear()
-        if self._since_fade >= _FADE_SAMPLES:
-            self._since_fade = 0
+        if self._since_decay >= _DECAY_SAMPLES:
+            self._since_decay = 0
             self._counts = [count / 2 for count in self._counts]
             self._total /= 2
 
     def _compute(self, share: float) -> float:
         wanted = share * self._total
         seen = 0.0
-        for place, count in enumerate(self._counts):
+        for index, count in enumerate(self._counts):
             seen += count
             if seen >= wanted:
-                return _FIRST_MS * _BUCKET_RATIO ** (place + 1)
+                return _FIRST_MS * _BUCKET_RATIO ** (index + 1)
         return _FIRST_MS * _BUCKET_RATIO**_BUCKETS
--- a/rhubarbhinge/query/_merging.py
+++ b/rhubarbhinge/query/_merging.py
@@ -2,29 +2,31 @@
 
 import heapq
 
-from rhubarbhinge.query._call import Call
 from rhubarbhinge.query._effects import Answer, QueryStats
 from rhubarbhinge.query._missing import Missing
+from rhubarbhinge.query._query import Query
 
 
-def merged_answer(call: Call, now_ms: float) -> Answer:
+def merged_answer(query: Query, now_ms: float) -> Answer:
     """Give the answer of a query from the parts that were answered.
 
-    :param call: the query.
+    :param query: the query.
     :param now_ms: the time.
     :returns: the best hits, the coverage, and the ranges that are missing in key order.
     """
-    limit = call.request.limit
-    hits = heapq.nsmallest(limit, call.hits, key=_rank)
+    limit = query.request.limit
+    hits = heapq.nsmallest(limit, query.hits, key=_rank)
     return Answer(
-        call.request.request_id,
-        call.request.collection,
-        call.plan.version,
+        query.request.request_id,
+        query.request.collection,
+        query.plan.version,
         tuple(hits),
-        call.covered_records,
-        call.plan.total_records,
-        tuple(sorted(call.lost, key=_first_key)),
-        QueryStats(now_ms - call.started_ms, call.base, call.hedges, call.retries, call.redirects),
+        query.covered_records,
+        query.plan.total_records,
+        tuple(sorted(query.missing, key=_first_key)),
+        QueryStats(
+            now_ms - query.started_ms, query.base, query.hedges, query.retries, query.redirects
+        ),
     )
 
 
--- a/rhubarbhinge/query/_plan.py
+++ b/rhubarbhinge/query/_plan.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rhubarbhinge.query._tile import Tile
+from rhubarbhinge.query._key_range import KeyRange
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,24 +23,24 @@
 
     :param version: the pinned index version; 0 when none is announced.
     :param total_records: records of the whole collection at that version.
-    :param tiles: disjoint ranges, by first key.
+    :param ranges: disjoint ranges, by first key.
     :param gaps: the keys between them.
     """
 
     version: int
     total_records: int
-    tiles: tuple[Tile, ...]
+    ranges: tuple[KeyRange, ...]
     gaps: tuple[Gap, ...]
 
     def reachable_records(self) -> int:
-        """Give how many records the tiles reach.
+        """Give how many records the ranges reach.
 
-        :returns: the sum of the tiles' records.
+        :returns: the sum of the ranges' records.
         """
-        return sum(tile.records for tile in self.tiles)
+        return sum(key_range.records for key_range in self.ranges)
 
     def reachable_share(self) -> float:
-        """Give the share of records that the tiles reach.
+        """Give the share of records that the ranges reach.
 
         :returns: between 0 and 1.
         """
--- a/rhubarbhinge/query/_call.py
+++ b/rhubarbhinge/query/_query.py
@@ -1,10 +1,10 @@
 """State of one query that is being answered."""
 
+from rhubarbhinge.query._key_range import KeyRange
 from rhubarbhinge.query._missing import Missing
 from rhubarbhinge.query._plan import Gap, Plan
-from rhubarbhinge.query._relaytarget import RelayTarget
-from rhubarbhinge.query._searchrequest import SearchRequest
-from rhubarbhinge.query._tile import Tile
+from rhubarbhinge.query._relay_target import RelayTarget
+from rhubarbhinge.query._search_request import SearchRequest
 
 #: The time of what is not planned.
 NEVER_MS = float("inf")
@@ -32,53 +32,53 @@
 class Part:
     """One range of a query.
 
-    :ivar tile: the range and its replicas.
+    :ivar key_range: the range and its replicas.
     :ivar attempts: outstanding attempts by number.
     :ivar tried: searchers that were sent to.
     :ivar sent: attempts sent so far.
     :ivar misdirected: those of them that a relay refused as it did not own the searcher.
     :ivar done: whether it was answered or given up.
-    :ivar why: the last reason for going without an answer.
+    :ivar missing_reason: the last reason for going without an answer.
     :ivar wait_ms: what the last refusal said of when to come back.
     :ivar retry_at_ms: when all replicas may be asked again; 0 when that is not planned.
-    :ivar retry_is_load: whether that retry counts against the budget.
-    :ivar holds_token: whether that retry has a token of the budget, as the attempt before it was
-        not run.
+    :ivar retry_is_extra_load: whether that retry counts against the budget.
+    :ivar retry_has_token: whether that retry may use the budget token of the previous attempt,
+        which was not run.
     :ivar owner_waits: how often it has waited for a relay that owns a replica.
     """
 
     __slots__ = (
         "number",
-        "tile",
+        "key_range",
         "attempts",
         "tried",
         "sent",
         "misdirected",
         "done",
-        "why",
+        "missing_reason",
         "wait_ms",
         "retry_at_ms",
-        "retry_is_load",
-        "holds_token",
+        "retry_is_extra_load",
+        "retry_has_token",
         "owner_waits",
     )
 
-    def __init__(self, number: int, tile: Tile) -> None:
+    def __init__(self, number: int, key_range: KeyRange) -> None:
         self.number = number
-        self.tile = tile
+        self.key_range = key_range
         self.attempts: dict[int, Attempt] = {}
         self.tried: set[int] = set()
         self.sent = 0
         self.misdirected = 0
         self.done = False
-        self.why = "no-replica"
+        self.missing_reason = "no-replica"
         self.wait_ms = 0
         self.retry_at_ms = 0.0
-        self.retry_is_load = True
-        self.holds_token = False
+        self.retry_is_extra_load = True
+        self.retry_has_token = False
         self.owner_waits = 0
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Say whether nothing is outstanding and a retry is planned.
 
         :returns: True when it waits.
@@ -86,14 +86,14 @@
         return not self.done and not self.attempts and self.retry_at_ms > 0.0
 
 
-class Call:
+class Query:
     """One query that is being answered.
 
     :ivar call_id: the entry's sequence number.
     :ivar request: the search as admitted.
     :ivar started_ms: when it began.
     :ivar deadline_ms: when it has to be answered, on the same clock.
-    :ivar wake_ms: when it is looked at next.
+    :ivar next_check_ms: when it is looked at next.
     """
 
     __slots__ = (
@@ -101,14 +101,14 @@
         "request",
         "started_ms",
         "deadline_ms",
-        "wake_ms",
+        "next_check_ms",
         "plan",
         "parts",
         "open_parts",
         "next_part",
         "hits",
         "covered_records",
-        "lost",
+        "missing",
         "gone_versions",
         "base",
         "hedges",
@@ -121,16 +121,16 @@
         self.request = request
         self.started_ms = now_ms
         self.deadline_ms = now_ms + request.deadline_ms
-        self.wake_ms = NEVER_MS
+        self.next_check_ms = NEVER_MS
         self.gone_versions: frozenset[int] = frozenset()
         self.next_part = 0
         self.base = 0
         self.hedges = 0
         self.retries = 0
         self.redirects = 0
-        self.begin(Plan(0, 0, (), ()))
+        self.set_plan(Plan(0, 0, (), ()))
 
-    def begin(self, plan: Plan) -> None:
+    def set_plan(self, plan: Plan) -> None:
         """Start over on a plan; part numbers go on, so that late answers match nothing.
 
         :param plan: the plan, with its pinned version.
@@ -140,15 +140,15 @@
         self.open_parts = 0
         self.hits: list[dict] = []
         self.covered_records = 0
-        self.lost: list[Missing] = [_missing_gap(gap, plan) for gap in plan.gaps]
+        self.missing: list[Missing] = [_missing_gap(gap, plan) for gap in plan.gaps]
 
-    def add_part(self, tile: Tile) -> Part:
+    def add_part(self, key_range: KeyRange) -> Part:
         """Add a range.
 
-        :param tile: the range.
+        :param key_range: the range.
         :returns: its part.
         """
-        part = Part(self.next_part, tile)
+        part = Part(self.next_part, key_range)
         self.next_part += 1
         self.parts[part.number] = part
         self.open_parts += 1
@@ -162,31 +162,33 @@
         part.done = True
         self.open_parts -= 1
 
-    def lose(self, part: Part) -> None:
+    def mark_missing(self, part: Part) -> None:
         """Give a part up.
 
         :param part: the part.
         """
         self.close_part(part)
-        tile = part.tile
-        self.lost.append(Missing(tile.lo, tile.hi, tile.records, part.why))
+        key_range = part.key_range
+        self.missing.append(
+            Missing(key_range.lo, key_range.hi, key_range.records, part.missing_reason)
+        )
 
     def next_retry_ms(self) -> float:
         """Give the time of the next retry of a waiting part.
 
         :returns: :data:`NEVER_MS` when no part waits.
         """
-        waiting = [part.retry_at_ms for part in self.parts.values() if part.waits()]
+        waiting = [part.retry_at_ms for part in self.parts.values() if part.is_waiting()]
         return min(waiting, default=NEVER_MS)
 
-    def best_coverage(self) -> float:
+    def max_coverage(self) -> float:
         """Give the coverage if all open parts are answered.
 
         :returns: between 0 and 1.
         """
         total = self.plan.total_records
         if total == 0:
-            return 0.0 if self.lost else 1.0
+            return 0.0 if self.missing else 1.0
         return (self.covered_records + self._open_records()) / total
 
     def coverage(self) -> float:
@@ -196,7 +198,7 @@
         """
         total = self.plan.total_records
         if total == 0:
-            return 0.0 if self.lost or self.open_parts else 1.0
+            return 0.0 if self.missing or self.open_parts else 1.0
         return self.covered_records / total
 
     def coverage_without(self, part: Part) -> float:
@@ -205,11 +207,11 @@
         :param part: the one.
         :returns: between 0 and 1.
         """
-        records = self.covered_records + self._open_records() - part.tile.records
+        records = self.covered_records + self._open_records() - part.key_range.records
         return records / max(1, self.plan.total_records)
 
     def _open_records(self) -> int:
-        return sum(part.tile.records for part in self.parts.values() if not part.done)
+        return sum(part.key_range.records for part in self.parts.values() if not part.done)
 
 
 def _missing_gap(gap: Gap, plan: Plan) -> Missing:
--- /dev/null
+++ b/rhubarbhinge/query/_range_selection.py
@@ -0,0 +1,71 @@
+"""Choose disjoint ranges that reach the most records."""
+
+from collections.abc import Iterable
+
+from rhubarbhinge.query._key_range import KeyRange
+from rhubarbhinge.query._plan import Gap
+
+
+def select_ranges(
+    ranges: Iterable[KeyRange], lo: int, hi: int
+) -> tuple[tuple[KeyRange, ...], tuple[Gap, ...]]:
+    """Choose disjoint ranges within a range of keys that reach the most records.
+
+    Announced ranges overlap while shards are split or merged. A walk over the ranges' bounds from
+    the right finds for each bound the best choice of ranges to its right, so that no record counts
+    twice. Among equals the choice with more replicas wins.
+
+    :param ranges: announced ranges.
+    :param lo: first key wanted.
+    :param hi: key after the last wanted.
+    :returns: the chosen ranges by first key, and the gaps between them.
+    """
+    inside = [key_range for key_range in ranges if lo <= key_range.lo < key_range.hi <= hi]
+    starts: dict[int, list[KeyRange]] = {}
+    for key_range in inside:
+        starts.setdefault(key_range.lo, []).append(key_range)
+    bounds = sorted(
+        {lo, hi} | {key_range.lo for key_range in inside} | {key_range.hi for key_range in inside}
+    )
+    best: dict[int, tuple[int, int, KeyRange | None, int]] = {hi: (0, 0, None, hi)}
+    for index in range(len(bounds) - 2, -1, -1):
+        bound = bounds[index]
+        after = bounds[index + 1]
+        best[bound] = _best_from(starts.get(bound, ()), best, after)
+    return _walk(best, lo, hi)
+
+
+def _best_from(
+    ranges: Iterable[KeyRange], best: dict[int, tuple[int, int, KeyRange | None, int]], after: int
+) -> tuple[int, int, KeyRange | None, int]:
+    records, replicas, _, _ = best[after]
+    found: tuple[int, int, KeyRange | None, int] = (records, replicas, None, after)
+    for key_range in ranges:
+        records, replicas, _, _ = best[key_range.hi]
+        candidate = (
+            records + key_range.records,
+            replicas + len(key_range.upstream_ids),
+            key_range,
+            key_range.hi,
+        )
+        if found[2] is None and candidate[0] >= found[0] or candidate[:2] > found[:2]:
+            found = candidate
+    return found
+
+
+def _walk(
+    best: dict[int, tuple[int, int, KeyRange | None, int]], lo: int, hi: int
+) -> tuple[tuple[KeyRange, ...], tuple[Gap, ...]]:
+    chosen = []
+    gaps: list[Gap] = []
+    at = lo
+    while at < hi:
+        _, _, key_range, after = best[at]
+        if key_range is not None:
+            chosen.append(key_range)
+        elif gaps and gaps[-1].hi == at:
+            gaps[-1] = Gap(gaps[-1].lo, after)
+        else:
+            gaps.append(Gap(at, after))
+        at = after
+    return tuple(chosen), tuple(gaps)
--- a/rhubarbhinge/query/_scores.py
+++ b/rhubarbhinge/query/_replica_scores.py
@@ -3,25 +3,25 @@
 from rhubarbhinge.wire import UpstreamState
 
 #: Weight of a new latency in the moving average.
-_NEW_SHARE = 0.2
+_AVERAGE_WEIGHT = 0.2
 #: A score older than this is doubted: one sub-query may find out anew.
-DOUBT_AFTER_MS = 5_000.0
+STALE_AFTER_MS = 5_000.0
 #: What an unknown searcher is taken for.
-_FIRST_GUESS_MS = 5.0
+_INITIAL_LATENCY_MS = 5.0
 #: How much slower a searcher is taken for while it warms up.
 _WARMING_FACTOR = 3.0
 #: A reported queue lags, so that it counts for less than what was sent from here.
-_REPORTED_SHARE = 0.5
+_REPORTED_LOAD_WEIGHT = 0.5
 #: A failed or refused sub-query counts as this many times the average latency.
 _FAILURE_FACTOR = 4.0
 
 
-class _Seen:
+class _ReplicaStats:
     __slots__ = ("average_ms", "at_ms", "outstanding", "reported", "slots")
 
     def __init__(self, average_ms: float) -> None:
         self.average_ms = average_ms
-        self.at_ms = -DOUBT_AFTER_MS
+        self.at_ms = -STALE_AFTER_MS
         self.outstanding = 0
         self.reported = 0
         self.slots = 1
@@ -31,23 +31,23 @@
     """What this entry has seen of each searcher: latency, refusals, its own outstanding work."""
 
     def __init__(self) -> None:
-        self._seen: dict[int, _Seen] = {}
-        self._mean_ms = _FIRST_GUESS_MS
+        self._stats: dict[int, _ReplicaStats] = {}
+        self._mean_ms = _INITIAL_LATENCY_MS
 
     def on_sent(self, upstream_id: int) -> None:
         """Count a sub-query that was sent.
 
         :param upstream_id: the searcher.
         """
-        self._of(upstream_id).outstanding += 1
+        self._stats_of(upstream_id).outstanding += 1
 
     def on_ended(self, upstream_id: int) -> None:
         """Count a sub-query that is no longer outstanding.
 
         :param upstream_id: the searcher.
         """
-        seen = self._of(upstream_id)
-        seen.outstanding = max(0, seen.outstanding - 1)
+        stats = self._stats_of(upstream_id)
+        stats.outstanding = max(0, stats.outstanding - 1)
 
     def on_latency(self, upstream_id: int, latency_ms: float, now_ms: float) -> None:
         """Learn from an answer.
@@ -56,12 +56,12 @@
         :param latency_ms: from sending to the answer, as seen here.
         :param now_ms: the time.
         """
-        seen = self._of(upstream_id)
-        if now_ms - seen.at_ms > DOUBT_AFTER_MS:
-            seen.average_ms = latency_ms
+        stats = self._stats_of(upstream_id)
+        if now_ms - stats.at_ms > STALE_AFTER_MS:
+            stats.average_ms = latency_ms
         else:
-            seen.average_ms += _NEW_SHARE * (latency_ms - seen.average_ms)
-        seen.at_ms = now_ms
+            stats.average_ms += _AVERAGE_WEIGHT * (latency_ms - stats.average_ms)
+        stats.at_ms = now_ms
         self._mean_ms += 0.01 * (latency_ms - self._mean_ms)
 
     def on_overdue(self, upstream_id: int, waited_ms: float, now_ms: float) -> None:
@@ -75,9 +75,9 @@
         :param waited_ms: how long it has taken so far: a lower bound.
         :param now_ms: the time.
         """
-        seen = self._of(upstream_id)
-        seen.at_ms = now_ms
-        seen.average_ms = max(seen.average_ms, waited_ms)
+        stats = self._stats_of(upstream_id)
+        stats.at_ms = now_ms
+        stats.average_ms = max(stats.average_ms, waited_ms)
 
     def on_failure(self, upstream_id: int, now_ms: float) -> None:
         """Learn from a refusal or a broken connection.
@@ -95,9 +95,9 @@
         :param in_flight: sub-queries sent.
         :param slots: how many the relay sends at once.
         """
-        seen = self._of(upstream_id)
-        seen.reported = queued + in_flight
-        seen.slots = max(1, slots)
+        stats = self._stats_of(upstream_id)
+        stats.reported = queued + in_flight
+        stats.slots = max(1, slots)
 
     def score(self, upstream_id: int, state: UpstreamState, now_ms: float) -> float:
         """Estimate how long a sub-query would take.
@@ -107,19 +107,19 @@
         :param now_ms: the time.
         :returns: milliseconds, an estimate good for comparing.
         """
-        seen = self._seen.get(upstream_id)
-        if seen is None:
+        stats = self._stats.get(upstream_id)
+        if stats is None:
             return self._mean_ms
-        average_ms = seen.average_ms
-        if seen.outstanding == 0 and now_ms - seen.at_ms > DOUBT_AFTER_MS:
+        average_ms = stats.average_ms
+        if stats.outstanding == 0 and now_ms - stats.at_ms > STALE_AFTER_MS:
             average_ms = self._mean_ms
         if state == UpstreamState.WARMING:
             average_ms *= _WARMING_FACTOR
-        load = max(seen.outstanding, _REPORTED_SHARE * seen.reported)
-        return average_ms * (1.0 + load / seen.slots)
-
-    def _of(self, upstream_id: int) -> _Seen:
-        seen = self._seen.get(upstream_id)
-        if seen is None:
-            seen = self._seen[upstream_id] = _Seen(self._mean_ms)
-        return seen
+        load = max(stats.outstanding, _REPORTED_LOAD_WEIGHT * stats.reported)
+        return average_ms * (1.0 + load / stats.slots)
+
+    def _stats_of(self, upstream_id: int) -> _ReplicaStats:
+        stats = self._stats.get(upstream_id)
+        if stats is None:
+            stats = self._stats[upstream_id] = _ReplicaStats(self._mean_ms)
+        return stats
--- a/rhubarbhinge/query/_sending.py
+++ b/rhubarbhinge/query/_sending.py
@@ -1,18 +1,18 @@
 """Choose a replica for a part and send it a sub-query."""
 
-from rhubarbhinge.query._call import Attempt, Call, Part
-from rhubarbhinge.query._querystate import QueryState
-from rhubarbhinge.query._relaytarget import RelayTarget
+from rhubarbhinge.query._query import Attempt, Part, Query
+from rhubarbhinge.query._relay_target import RelayTarget
+from rhubarbhinge.query._shared_query_state import SharedQueryState
 
 #: Numbers that an attempt can have in a message.
 ATTEMPT_NUMBERS = 256
 
 
-def send(state: QueryState, call: Call, part: Part, now_ms: float, extra: bool) -> bool:
+def send(state: SharedQueryState, query: Query, part: Part, now_ms: float, extra: bool) -> bool:
     """Send a part to the best replica that it was not sent to.
 
     :param state: the entry's state.
-    :param call: the query.
+    :param query: the query.
     :param part: the part.
     :param now_ms: the time.
     :param extra: whether a token of the budget was spent on it.
@@ -27,29 +27,29 @@
     part.tried.add(upstream_id)
     part.attempts[attempt] = Attempt(upstream_id, target, now_ms, extra)
     state.scores.on_sent(upstream_id)
-    state.outbox.send(target, call, part, attempt, upstream_id)
+    state.outbox.send(target, query, part, attempt, upstream_id)
     return True
 
 
-def send_extra(state: QueryState, call: Call, part: Part, now_ms: float) -> bool:
+def send_extra(state: SharedQueryState, query: Query, part: Part, now_ms: float) -> bool:
     """Send a part once more, if the budget lets it.
 
     :param state: the entry's state.
-    :param call: the query.
+    :param query: the query.
     :param part: the part.
     :param now_ms: the time.
     :returns: whether it was sent.
     """
     budgeted = state.policy.budgeted
-    if budgeted and not state.budget(call).spend(now_ms):
+    if budgeted and not state.budget(query).try_spend(now_ms):
         return False
-    sent = send(state, call, part, now_ms, extra=budgeted)
+    sent = send(state, query, part, now_ms, extra=budgeted)
     if budgeted and not sent:
-        state.budget(call).give_back()
+        state.budget(query).refund()
     return sent
 
 
-def attempts_left(state: QueryState, part: Part) -> bool:
+def has_attempts_left(state: SharedQueryState, part: Part) -> bool:
     """Say whether a part may be sent once more.
 
     :param state: the entry's state.
@@ -57,14 +57,14 @@
     :returns: False when its attempts are used up.
     """
     counted = part.sent - part.misdirected
-    return counted < state.policy.most_attempts and part.sent < ATTEMPT_NUMBERS
+    return counted < state.policy.max_attempts and part.sent < ATTEMPT_NUMBERS
 
 
-def _choose(state: QueryState, part: Part, now_ms: float) -> tuple[int, RelayTarget] | None:
-    if not attempts_left(state, part):
+def _choose(state: SharedQueryState, part: Part, now_ms: float) -> tuple[int, RelayTarget] | None:
+    if not has_attempts_left(state, part):
         return None
     found: list[tuple[float, int, RelayTarget]] = []
-    for upstream_id in part.tile.upstream_ids:
+    for upstream_id in part.key_range.upstream_ids:
         if upstream_id in part.tried or not state.catalog.usable(upstream_id):
             continue
         target = state.relay_of(upstream_id)
@@ -76,7 +76,7 @@
     return upstream_id, target
 
 
-def _score(state: QueryState, upstream_id: int, now_ms: float) -> float:
+def _score(state: SharedQueryState, upstream_id: int, now_ms: float) -> float:
     if not state.policy.own_observation:
         return state.rng.random()
     score = state.scores.score(upstream_id, state.catalog.state(upstream_id), now_ms)
--- a/rhubarbhinge/query/_querystate.py
+++ b/rhubarbhinge/query/_shared_query_state.py
@@ -3,21 +3,21 @@
 import random
 from collections.abc import Callable
 
-from rhubarbhinge.query._budget import ExtraLoadBudget
-from rhubarbhinge.query._call import Call
 from rhubarbhinge.query._catalog import Catalog
-from rhubarbhinge.query._latency import LatencyWindow
-from rhubarbhinge.query._openqueries import OpenQueries
+from rhubarbhinge.query._extra_load_budget import ExtraLoadBudget
+from rhubarbhinge.query._latency_histogram import LatencyHistogram
+from rhubarbhinge.query._open_queries import OpenQueries
 from rhubarbhinge.query._outbox import Outbox
 from rhubarbhinge.query._policy import QueryPolicy
-from rhubarbhinge.query._relaytarget import RelayTarget
-from rhubarbhinge.query._scores import ReplicaScores
+from rhubarbhinge.query._query import Query
+from rhubarbhinge.query._relay_target import RelayTarget
+from rhubarbhinge.query._replica_scores import ReplicaScores
 
-RelayOf = Callable[[int], RelayTarget | None]
-IsExpected = Callable[[int], bool]
+FindRelay = Callable[[int], RelayTarget | None]
+IsRelayExpected = Callable[[int], bool]
 
 
-class QueryState:
+class SharedQueryState:
     """What beginning, sending, hedging and ending a query work on.
 
     :param policy: constants and switches.
@@ -49,9 +49,9 @@
         self,
         policy: QueryPolicy,
         catalog: Catalog,
-        relay_of: RelayOf,
+        relay_of: FindRelay,
         rng: random.Random,
-        is_expected: IsExpected,
+        is_expected: IsRelayExpected,
     ) -> None:
         self.policy = policy
         self.catalog = catalog
@@ -62,30 +62,30 @@
         self.outbox = Outbox()
         self.open = OpenQueries()
         self.budgets: dict[str, ExtraLoadBudget] = {}
-        self.latencies: dict[str, LatencyWindow] = {}
+        self.latencies: dict[str, LatencyHistogram] = {}
 
-    def budget(self, call: Call) -> ExtraLoadBudget:
+    def budget(self, query: Query) -> ExtraLoadBudget:
         """Give the budget of a query's traffic class.
 
-        :param call: the query.
+        :param query: the query.
         :returns: the budget, new when the class had none.
         """
-        name = call.request.traffic_class.name
+        name = query.request.traffic_class.name
         budget = self.budgets.get(name)
         if budget is None:
             budget = self.budgets[name] = ExtraLoadBudget(
-                self.policy.budget_tokens, self.policy.floor_period_ms
+                self.policy.max_budget_tokens, self.policy.floor_interval_ms
             )
         return budget
 
-    def window(self, call: Call) -> LatencyWindow:
+    def latency_histogram(self, query: Query) -> LatencyHistogram:
         """Give the latencies of a query's collection.
 
-        :param call: the query.
+        :param query: the query.
         :returns: the latencies, none yet when the collection is new.
         """
-        name = call.request.collection
+        name = query.request.collection
         window = self.latencies.get(name)
         if window is None:
-            window = self.latencies[name] = LatencyWindow()
+            window = self.latencies[name] = LatencyHistogram()
         return window
--- a/rhubarbhinge/query/_subanswer.py
+++ b/rhubarbhinge/query/_sub_answer.py
@@ -2,14 +2,14 @@
 
 import orjson
 
-from rhubarbhinge.query._call import Call, Part
+from rhubarbhinge.query._query import Part, Query
 from rhubarbhinge.utils.nesting import is_nested_below
 
 #: Lists and objects may be nested this deep in a hit; orjson reads 1,024 levels and writes 254.
-_MOST_DEPTH = 16
+_MAX_HIT_DEPTH = 16
 
 
-def checked_hits(body: bytes, call: Call, part: Part) -> list[dict] | None:
+def parse_hits(body: bytes, query: Query, part: Part) -> list[dict] | None:
     """Read a searcher's answer.
 
     An answer for another collection, version or range, or with another count of records than was
@@ -17,7 +17,7 @@
     coverage.
 
     :param body: the answer, JSON.
-    :param call: the call.
+    :param query: the query.
     :param part: the part that was asked for.
     :returns: the hits, or None when the answer is not the one asked for.
     """
@@ -27,13 +27,13 @@
         return None
     if not isinstance(answer, dict):
         return None
-    tile = part.tile
+    key_range = part.key_range
     if (
-        answer.get("version") != call.plan.version
-        or answer.get("collection") != call.request.collection
-        or answer.get("lo") != tile.lo
-        or answer.get("hi") != tile.hi
-        or answer.get("records") != tile.records
+        answer.get("version") != query.plan.version
+        or answer.get("collection") != query.request.collection
+        or answer.get("lo") != key_range.lo
+        or answer.get("hi") != key_range.hi
+        or answer.get("records") != key_range.records
     ):
         return None
     hits = answer.get("hits")
@@ -50,4 +50,4 @@
 
 def _is_shallow(body: bytes, hits: list[dict]) -> bool:
     flat = body.count(b"{") + body.count(b"[") <= len(hits) + 2
-    return flat or is_nested_below(hits, _MOST_DEPTH)
+    return flat or is_nested_below(hits, _MAX_HIT_DEPTH)
--- a/rhubarbhinge/query/_subendings.py
+++ b/rhubarbhinge/query/_sub_outcomes.py
@@ -3,7 +3,7 @@
 from rhubarbhinge.wire import SubCode
 
 #: Reasons in answers, by how the last attempt ended.
-WHY = {
+MISSING_REASONS = {
     SubCode.SHED: "shed",
     SubCode.DRAINING: "draining",
     SubCode.VERSION_GONE: "version-gone",
@@ -17,7 +17,7 @@
 }
 #: Endings after which sending elsewhere is no extra load: nothing was run, or what ran is gone with
 #: its searcher, whose work the other replicas take over anyway.
-NOT_LOAD = frozenset(
+NOT_EXTRA_LOAD = frozenset(
     {
         SubCode.DRAINING,
         SubCode.VERSION_GONE,
@@ -31,4 +31,4 @@
     {SubCode.SHED, SubCode.BROKEN, SubCode.QUEUE_FULL, SubCode.DEADLINE, SubCode.LOST}
 )
 #: Endings after which the same replicas may answer a little later.
-WORTH_WAITING = FAILURES
+RETRYABLE = FAILURES
--- a/rhubarbhinge/query/tests/core_bench.py
+++ b/rhubarbhinge/query/tests/core_harness.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.wire import SubCode
 
 
-class Bench:
+class CoreHarness:
     """A core whose searcher n is owned by relay "r<n>" unless told otherwise."""
 
     def __init__(self, held, traffic=None, **policy):
@@ -16,7 +16,7 @@
         self.traffic = traffic or builders.traffic_class(extra_load=1.0)
         for number, spans in held.items():
             self.catalog.on_holdings(builders.holding(number, spans))
-        policy = QueryPolicy(first_hedge_ms=30.0, **policy)
+        policy = QueryPolicy(initial_hedge_delay_ms=30.0, **policy)
         self.expected = set()
         self.core = QueryCore(
             policy, self.catalog, self.relays.get, random.Random(1), self.expected.__contains__
--- a/rhubarbhinge/query/tests/schedule.py
+++ b/rhubarbhinge/query/tests/schedule.py
@@ -24,7 +24,7 @@
 
 SHARD = builders.KEYS // 8
 RELAYS = ("r0", "r1", "r2")
-POLICY = QueryPolicy(first_hedge_ms=20.0)
+POLICY = QueryPolicy(initial_hedge_delay_ms=20.0)
 POLICIES = (POLICY, replace(POLICY, hedging=False), replace(POLICY, own_observation=False))
 CLASSES = (
     builders.traffic_class("unit-trip", 0.9, 0.2),
@@ -33,8 +33,13 @@
 )
 REFUSALS = (SubCode.SHED, SubCode.QUEUE_FULL, SubCode.BROKEN, SubCode.DEADLINE)
 REFUSALS += (SubCode.WRONG_RECEIVER, SubCode.CANCELLED, SubCode.LOST)
-NOT_LOAD = {SubCode.DRAINING, SubCode.VERSION_GONE, SubCode.RANGE_MOVED, SubCode.WRONG_RECEIVER}
-NOT_LOAD |= {SubCode.LOST}
+NOT_EXTRA_LOAD = {
+    SubCode.DRAINING,
+    SubCode.VERSION_GONE,
+    SubCode.RANGE_MOVED,
+    SubCode.WRONG_RECEIVER,
+}
+NOT_EXTRA_LOAD |= {SubCode.LOST}
 
 
 class Searcher:
@@ -62,9 +67,9 @@
 class Schedule:
     """Runs a query core against searchers; time passes only here."""
 
-    def __init__(self, seed: int, trouble: float, policy: QueryPolicy = POLICY) -> None:
+    def __init__(self, seed: int, fault_rate: float, policy: QueryPolicy = POLICY) -> None:
         self.rng = random.Random(seed)
-        self.trouble = trouble
+        self.fault_rate = fault_rate
         self.now_ms = START_MS
         self.catalog = Catalog()
         self.core = QueryCore(
@@ -101,9 +106,9 @@
         search = builders.request(number, traffic, 60.0 + second * 10, f"text {number}")
         self.requests[number] = search
         self.open.add(number)
-        self._note("asked", request=number, node="e")
+        self._record_event("asked", request=number, node="e")
         plan = self.catalog.plan(search.collection)
-        self.earned[traffic.name] += len(plan.tiles) * traffic.extra_load
+        self.earned[traffic.name] += len(plan.ranges) * traffic.extra_load
         self._carry_out(self.core.start(search, self.now_ms))
 
     def abandon(self, first: int, second: int) -> None:
@@ -119,13 +124,13 @@
             if self.rng.random() < 0.3 + second / 16:
                 newest = max((span[0] for span in searcher.spans), default=0)
                 spans = {(self.version, *s[1:]) for s in searcher.spans if s[0] == newest}
-                self._hold(searcher, searcher.spans | spans)
+                self._set_holdings(searcher, searcher.spans | spans)
 
     def drop(self, first: int, second: int) -> None:
         for searcher in self.searchers:
             oldest = min((span[0] for span in searcher.spans), default=0)
             if self.rng.random() < second / 12:
-                self._hold(searcher, {span for span in searcher.spans if span[0] != oldest})
+                self._set_holdings(searcher, {span for span in searcher.spans if span[0] != oldest})
 
     def split(self, first: int, second: int) -> None:
         searcher = self._searcher(first)
@@ -133,7 +138,7 @@
         for version, lo, hi in searcher.spans:
             middle = (lo + hi) // 2
             halves |= {(version, lo, middle), (version, middle, hi)}
-        self._hold(searcher, halves)
+        self._set_holdings(searcher, halves)
 
     def merge(self, first: int, second: int) -> None:
         searcher = self._searcher(first)
@@ -141,21 +146,21 @@
             (v, lo - lo % (2 * SHARD), lo - lo % (2 * SHARD) + 2 * SHARD)
             for v, lo, _ in searcher.spans
         }
-        self._hold(searcher, merged)
+        self._set_holdings(searcher, merged)
 
     def move(self, first: int, second: int) -> None:
         source, target = self._searcher(first), self._searcher(second)
         if source.spans and source is not target:
             moved = {self.rng.choice(sorted(source.spans))}
-            self._hold(target, target.spans | moved)
-            self._hold(source, source.spans - moved)
+            self._set_holdings(target, target.spans | moved)
+            self._set_holdings(source, source.spans - moved)
 
     def drain(self, first: int, second: int) -> None:
         searcher = self._searcher(first)
         searcher.draining = not searcher.draining
         if not searcher.draining:
             searcher.incarnation += 1
-        self._later(lambda: self._report(searcher))
+        self._schedule_message(lambda: self._report(searcher))
 
     def lose_relay(self, first: int, second: int) -> None:
         relay = RELAYS[first % 3]
@@ -204,7 +209,7 @@
         while self._network and self._network[0][0] <= self.now_ms:
             heapq.heappop(self._network)[2]()
 
-    def _later(self, action, delay_ms: float | None = None) -> None:
+    def _schedule_message(self, action, delay_ms: float | None = None) -> None:
         delay_ms = self.rng.choice((0, 1, 3, 10, 40)) if delay_ms is None else delay_ms
         heapq.heappush(self._network, (self.now_ms + delay_ms, next(self._numbers), action))
 
@@ -228,7 +233,9 @@
         response = api.answer(effect, {}) if effect is answer else api.shortfall(effect)
         self.open.discard(answer.request_id)
         body = orjson.loads(response.body)
-        self._note("answered", request=answer.request_id, body=body, whole=True, effect=effect)
+        self._record_event(
+            "answered", request=answer.request_id, body=body, whole=True, effect=effect
+        )
 
     def _send(self, relay: str, batch, row) -> None:
         part, attempt, number, lo, hi = row
@@ -239,23 +246,23 @@
         self.sent[key] = (relay, self.requests[batch.call_id].traffic_class.name)
         outcome = self.searchers[number].outcome(batch.version, lo, hi)
         body = b""
-        if self.rng.random() < self.trouble:
+        if self.rng.random() < self.fault_rate:
             outcome = self.rng.choice(REFUSALS)
         elif outcome == SubCode.ANSWERED:
             body = builders.found(batch.version, lo, hi, text, batch.limit)
         wrong = builders.found(batch.version, lo, hi, text, hits=[])
-        if body and self.rng.random() < self.trouble:
-            body = self._spoil(batch.version, lo, hi, text)
-        for chance in (1.0, self.trouble / 2):
-            if self.rng.random() < chance * (1.0 - self.trouble / 2):
-                self._later(lambda: self._reply(relay, key, outcome, body))
-        if self.rng.random() < self.trouble:
-            stranger = self.rng.choice([name for name in RELAYS if name != relay])
-            self._later(lambda: self._reply(stranger, key, SubCode.ANSWERED, wrong))
+        if body and self.rng.random() < self.fault_rate:
+            body = self._corrupt_answer(batch.version, lo, hi, text)
+        for chance in (1.0, self.fault_rate / 2):
+            if self.rng.random() < chance * (1.0 - self.fault_rate / 2):
+                self._schedule_message(lambda: self._reply(relay, key, outcome, body))
+        if self.rng.random() < self.fault_rate:
+            other_relay = self.rng.choice([name for name in RELAYS if name != relay])
+            self._schedule_message(lambda: self._reply(other_relay, key, SubCode.ANSWERED, wrong))
             late = (batch.call_id, part, attempt + 7)
-            self._later(lambda: self._reply(relay, late, SubCode.ANSWERED, wrong))
+            self._schedule_message(lambda: self._reply(relay, late, SubCode.ANSWERED, wrong))
 
-    def _spoil(self, version: int, lo: int, hi: int, text: str) -> bytes:
+    def _corrupt_answer(self, version: int, lo: int, hi: int, text: str) -> bytes:
         """Make an answer that is wrong in one thing only."""
         records = builders.count(version, lo, hi)
         return self.rng.choice(
@@ -272,35 +279,35 @@
     def _reply(self, relay: str, key, outcome: SubCode, body: bytes) -> None:
         if key in self.sent and self.sent[key][0] == relay and key not in self.ended:
             self.ended.add(key)
-            self.refused[key[:2]] += outcome in NOT_LOAD
+            self.refused[key[:2]] += outcome in NOT_EXTRA_LOAD
             if outcome == SubCode.ANSWERED:
-                self._note_served(key[0], body)
+                self._record_served(key[0], body)
         batch = builders.reply((*key, outcome, self.rng.choice((0, 10, 50)), body))
         self._carry_out(self.core.on_reply(relay, batch, self.now_ms))
 
-    def _note_served(self, call_id: int, body: bytes) -> None:
+    def _record_served(self, call_id: int, body: bytes) -> None:
         try:
             sub = orjson.loads(body)
         except orjson.JSONDecodeError:
             return
         fields = {name: sub[name] for name in ("collection", "version", "lo", "hi")}
         if all("score" in hit for hit in sub["hits"]):
-            self._note("served", request=call_id, **fields)
+            self._record_event("served", request=call_id, **fields)
 
     # Announcements.
 
     def _searcher(self, number: int) -> Searcher:
         return self.searchers[number % len(self.searchers)]
 
-    def _hold(self, searcher: Searcher, spans: set[tuple[int, int, int]]) -> None:
+    def _set_holdings(self, searcher: Searcher, spans: set[tuple[int, int, int]]) -> None:
         searcher.spans = set(spans)
         report = builders.holding(searcher.number, spans, searcher.incarnation)
-        self._later(lambda: self.catalog.on_holdings(report))
+        self._schedule_message(lambda: self.catalog.on_holdings(report))
 
     def _report(self, searcher: Searcher) -> None:
         state = UpstreamState.DRAINING if searcher.draining else UpstreamState.READY
         row = (searcher.number, state, 1, 1, 2)
         self.core.on_report(UpstreamReport(*((field,) for field in row)))
 
-    def _note(self, name: str, **fields) -> None:
+    def _record_event(self, name: str, **fields) -> None:
         self.events.append({"event": name, "at_ms": self.now_ms, **fields})
--- a/rhubarbhinge/query/tests/test_catalog.py
+++ b/rhubarbhinge/query/tests/test_catalog.py
@@ -6,14 +6,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.query import Catalog, Tile, tiling
+from rhubarbhinge.query import Catalog, KeyRange, select_ranges
 from rhubarbhinge.query.tests import builders
 from rhubarbhinge.wire import HoldingReport, UpstreamState
 
 KEYS = builders.KEYS
 SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=300)
 TILE = st.builds(
-    Tile,
+    KeyRange,
     st.integers(0, 12),
     st.integers(0, 12),
     st.integers(0, 9),
@@ -21,18 +21,20 @@
 )
 
 
-def disjoint(tiles):
-    ordered = sorted(tiles, key=lambda tile: tile.lo)
+def disjoint(ranges):
+    ordered = sorted(ranges, key=lambda key_range: key_range.lo)
     return all(left.hi <= right.lo for left, right in itertools.pairwise(ordered))
 
 
-def most_records(tiles, lo, hi):
-    """Try every choice of tiles."""
-    inside = [tile for tile in tiles if lo <= tile.lo < tile.hi <= hi]
+def most_records(ranges, lo, hi):
+    """Try every choice of ranges."""
+    inside = [key_range for key_range in ranges if lo <= key_range.lo < key_range.hi <= hi]
     choices = itertools.chain.from_iterable(
         itertools.combinations(inside, size) for size in range(len(inside) + 1)
     )
-    return max(sum(tile.records for tile in choice) for choice in choices if disjoint(choice))
+    return max(
+        sum(key_range.records for key_range in choice) for choice in choices if disjoint(choice)
+    )
 
 
 def catalog(held):
@@ -43,18 +45,20 @@
 
 
 def spans_of(plan):
-    return [(tile.lo, tile.hi) for tile in plan.tiles]
+    return [(key_range.lo, key_range.hi) for key_range in plan.ranges]
 
 
 class TilingTest(unittest.TestCase):
     @SETTINGS
     @given(st.lists(TILE, max_size=7), st.integers(0, 4), st.integers(8, 12))
-    def test_the_best_choice_is_found_and_nothing_counts_twice(self, tiles, lo, hi):
-        chosen, gaps = tiling(tiles, lo, hi)
-        self.assertEqual(most_records(tiles, lo, hi), sum(tile.records for tile in chosen))
+    def test_the_best_choice_is_found_and_nothing_counts_twice(self, ranges, lo, hi):
+        chosen, gaps = select_ranges(ranges, lo, hi)
+        self.assertEqual(
+            most_records(ranges, lo, hi), sum(key_range.records for key_range in chosen)
+        )
         spans = sorted([(each.lo, each.hi) for each in chosen + gaps])
         self.assertEqual([lo, *(span[1] for span in spans)], [*(span[0] for span in spans), hi])
-        self.assertTrue(set(chosen) <= set(tiles))
+        self.assertTrue(set(chosen) <= set(ranges))
 
 
 class CatalogTest(unittest.TestCase):
@@ -63,7 +67,7 @@
         plan = catalog({1: [(1, 0, KEYS)], 2: halves[:1], 3: halves[1:]}).plan(builders.COLLECTION)
         self.assertEqual(plan.total_records, plan.reachable_records())
         self.assertEqual([], list(plan.gaps))
-        self.assertEqual([(1, 2), (1, 3)], [tile.upstream_ids for tile in plan.tiles])
+        self.assertEqual([(1, 2), (1, 3)], [key_range.upstream_ids for key_range in plan.ranges])
 
     def test_a_wider_holder_serves_a_gap_that_parts_leave(self):
         held = {1: [(1, 0, KEYS)], 2: [(1, 0, KEYS // 2)]}
@@ -90,8 +94,8 @@
             (lambda: made.forget([1]), []),
         ):
             leave()
-            tiles = made.plan(builders.COLLECTION).tiles
-            self.assertEqual(left, [tile.upstream_ids for tile in tiles])
+            ranges = made.plan(builders.COLLECTION).ranges
+            self.assertEqual(left, [key_range.upstream_ids for key_range in ranges])
 
     def test_a_drain_outlasts_a_relay_that_has_not_heard_from_the_searcher(self):
         """Guards against new work at a leaving searcher whose relay has changed."""
@@ -101,10 +105,10 @@
             catalog.on_state(1, state)
         catalog.on_state(1, UpstreamState.UNKNOWN)
         self.assertFalse(catalog.usable(1))
-        self.assertEqual((), catalog.plan(builders.COLLECTION).tiles)
+        self.assertEqual((), catalog.plan(builders.COLLECTION).ranges)
         catalog.on_state(1, UpstreamState.READY)
         self.assertTrue(catalog.usable(1))
-        self.assertEqual(1, len(catalog.plan(builders.COLLECTION).tiles))
+        self.assertEqual(1, len(catalog.plan(builders.COLLECTION).ranges))
 
     def test_a_newer_life_ends_a_drain(self):
         catalog = Catalog()
@@ -133,7 +137,7 @@
                 made.on_holdings(HoldingReport(1, 1, names, versions, totals, los, his, counts))
                 plan = made.plan(builders.COLLECTION)
                 self.assertLessEqual(plan.reachable_records(), plan.total_records)
-                self.assertEqual((0, KEYS), (plan.tiles[0].lo, plan.tiles[-1].hi))
+                self.assertEqual((0, KEYS), (plan.ranges[0].lo, plan.ranges[-1].hi))
 
     def test_one_false_announcement_among_three_changes_nothing(self):
         true, total = builders.count(1, 0, KEYS // 2), builders.count(1, 0, KEYS)
@@ -143,7 +147,7 @@
                 row = (builders.COLLECTION, 1, false_total, 0, KEYS // 2, false_count)
                 made.on_holdings(HoldingReport(3, 1, *((field,) for field in row)))
                 plan = made.plan(builders.COLLECTION)
-                self.assertEqual((true, total), (plan.tiles[0].records, plan.total_records))
+                self.assertEqual((true, total), (plan.ranges[0].records, plan.total_records))
 
 
 if __name__ == "__main__":
--- a/rhubarbhinge/query/tests/test_core.py
+++ b/rhubarbhinge/query/tests/test_core.py
@@ -10,203 +10,210 @@
     all_answers,
 )
 from rhubarbhinge.query.tests import builders
-from rhubarbhinge.query.tests.core_bench import Bench, cancels
+from rhubarbhinge.query.tests.core_harness import CoreHarness, cancels
 from rhubarbhinge.wire import SubCode, UpstreamReport, UpstreamState
 
 HALF = builders.KEYS // 2
 LOW, HIGH = (1, 0, HALF), (1, HALF, builders.KEYS)
-FREE = (SubCode.DRAINING, SubCode.VERSION_GONE, SubCode.WRONG_RECEIVER, SubCode.RANGE_MOVED)
+NOT_EXTRA_LOAD = (
+    SubCode.DRAINING,
+    SubCode.VERSION_GONE,
+    SubCode.WRONG_RECEIVER,
+    SubCode.RANGE_MOVED,
+)
 
 
 class HedgeTest(unittest.TestCase):
     def test_a_hedge_waits_for_its_delay_and_goes_to_another_replica(self):
-        bench = Bench({1: [LOW, HIGH], 2: [LOW, HIGH]})
-        first = bench.sends(bench.start())
-        self.assertEqual([], bench.sends(bench.core.tick(29.0)))
-        hedges = bench.sends(bench.core.tick(30.0))
+        harness = CoreHarness({1: [LOW, HIGH], 2: [LOW, HIGH]})
+        first = harness.sends(harness.start())
+        self.assertEqual([], harness.sends(harness.core.tick(29.0)))
+        hedges = harness.sends(harness.core.tick(30.0))
         self.assertEqual([row[0] for row in first], [row[0] for row in hedges])
         for row, hedge in zip(first, hedges, strict=True):
             self.assertEqual({1, 2}, {row[2], hedge[2]})
 
     def test_a_wake_up_for_another_part_hedges_nothing_early(self):
-        bench = Bench({1: [LOW], 2: [LOW], 3: [HIGH]})
-        rows = {row[3]: row for row in bench.sends(bench.start())}
-        bench.answer(rows[HALF], 5.0, SubCode.SHED, 15)
-        self.assertEqual([HALF], [row[3] for row in bench.sends(bench.core.tick(20.0))])
+        harness = CoreHarness({1: [LOW], 2: [LOW], 3: [HIGH]})
+        rows = {row[3]: row for row in harness.sends(harness.start())}
+        harness.answer(rows[HALF], 5.0, SubCode.SHED, 15)
+        self.assertEqual([HALF], [row[3] for row in harness.sends(harness.core.tick(20.0))])
 
     def test_hedges_stop_where_the_budget_ends(self):
-        bench = Bench({1: [LOW, HIGH], 2: [LOW, HIGH]}, builders.traffic_class(extra_load=0.5))
-        bench.start()
-        self.assertEqual(1, len(bench.sends(bench.core.tick(30.0))))
-        self.assertEqual([], bench.sends(bench.core.tick(100.0)))
+        harness = CoreHarness(
+            {1: [LOW, HIGH], 2: [LOW, HIGH]}, builders.traffic_class(extra_load=0.5)
+        )
+        harness.start()
+        self.assertEqual(1, len(harness.sends(harness.core.tick(30.0))))
+        self.assertEqual([], harness.sends(harness.core.tick(100.0)))
 
     def test_one_extra_sub_query_passes_now_and_then_without_a_token(self):
         traffic = builders.traffic_class(extra_load=0.0)
-        bench = Bench({1: [LOW, HIGH], 2: [LOW, HIGH]}, traffic)
+        harness = CoreHarness({1: [LOW, HIGH], 2: [LOW, HIGH]}, traffic)
         passed = []
         for number in range(1, 61):
             now_ms = 100.0 * number
-            bench.start(now_ms, number)
-            passed += [now_ms] * len(bench.sends(bench.core.tick(now_ms + 30.0)))
-            bench.core.abandon(number, now_ms + 40.0)
+            harness.start(now_ms, number)
+            passed += [now_ms] * len(harness.sends(harness.core.tick(now_ms + 30.0)))
+            harness.core.abandon(number, now_ms + 40.0)
         self.assertEqual([2100.0, 4100.0], passed)
 
     def test_the_loser_is_cancelled_and_its_answer_ignored(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
-        first = bench.sends(bench.start())[0]
-        hedge = bench.sends(bench.core.tick(30.0))[0]
-        effects = bench.answer(hedge, 35.0)
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
+        first = harness.sends(harness.start())[0]
+        hedge = harness.sends(harness.core.tick(30.0))[0]
+        effects = harness.answer(hedge, 35.0)
         self.assertEqual([(1, first[0], first[1])], cancels(effects))
         (answer,) = all_answers(effects)
         self.assertEqual((1, 1, 1.0), (answer.stats.base, answer.stats.hedges, answer.coverage))
-        self.assertEqual([], bench.answer(first, 36.0))
+        self.assertEqual([], harness.answer(first, 36.0))
 
     def test_a_straggler_whose_answers_are_always_cancelled_is_avoided(self):
-        bench = Bench({n: [(1, 0, builders.KEYS)] for n in (1, 2)})
+        harness = CoreHarness({n: [(1, 0, builders.KEYS)] for n in (1, 2)})
         now_ms, asked = 0.0, []
         for number in range(1, 21):
-            row = bench.sends(bench.start(now_ms, number))[0]
+            row = harness.sends(harness.start(now_ms, number))[0]
             asked.append(row[2])
             answered_ms = now_ms + 15.0
             if row[2] == 1:
-                row = bench.sends(bench.core.tick(now_ms + 30.0))[0]
+                row = harness.sends(harness.core.tick(now_ms + 30.0))[0]
                 answered_ms = now_ms + 45.0
             reply = builders.reply(
                 (number, row[0], row[1], SubCode.ANSWERED, 0, builders.found(1, row[3], row[4]))
             )
-            self.assertEqual(1, len(all_answers(bench.core.on_reply("r2", reply, answered_ms))))
+            self.assertEqual(1, len(all_answers(harness.core.on_reply("r2", reply, answered_ms))))
             now_ms += 50.0
         self.assertLessEqual(asked.count(1), 1)
 
     def test_a_primary_that_fails_leaves_its_hedge_running(self):
-        bench = Bench({n: [(1, 0, builders.KEYS)] for n in (1, 2, 3)})
-        first = bench.sends(bench.start())[0]
-        hedge = bench.sends(bench.core.tick(30.0))[0]
-        self.assertEqual([], bench.answer(first, 31.0, SubCode.BROKEN))
-        self.assertIsInstance(bench.answer(hedge, 32.0)[0], Answer)
+        harness = CoreHarness({n: [(1, 0, builders.KEYS)] for n in (1, 2, 3)})
+        first = harness.sends(harness.start())[0]
+        hedge = harness.sends(harness.core.tick(30.0))[0]
+        self.assertEqual([], harness.answer(first, 31.0, SubCode.BROKEN))
+        self.assertIsInstance(harness.answer(hedge, 32.0)[0], Answer)
 
 
 class RedirectTest(unittest.TestCase):
     def test_a_refusal_without_load_is_sent_elsewhere_without_spending(self):
-        for outcome in FREE:
+        for outcome in NOT_EXTRA_LOAD:
             with self.subTest(outcome):
-                bench = Bench({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
-                first = bench.sends(bench.start())[0]
-                before = bench.tokens()
-                second = bench.sends(bench.answer(first, outcome=outcome))[0]
+                harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
+                first = harness.sends(harness.start())[0]
+                before = harness.tokens()
+                second = harness.sends(harness.answer(first, outcome=outcome))[0]
                 self.assertNotEqual(first[2], second[2])
-                self.assertEqual(before, bench.tokens())
-                (answer,) = all_answers(bench.answer(second, 12.0))
+                self.assertEqual(before, harness.tokens())
+                (answer,) = all_answers(harness.answer(second, 12.0))
                 self.assertEqual((1, 0), (answer.stats.redirects, answer.stats.retries))
 
     def test_a_refusal_that_is_load_spends(self):
         for outcome in (SubCode.SHED, SubCode.BROKEN, SubCode.QUEUE_FULL, SubCode.DEADLINE):
             with self.subTest(outcome):
-                bench = Bench({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
-                first = bench.sends(bench.start())[0]
-                self.assertEqual(1, len(bench.sends(bench.answer(first, outcome=outcome))))
-                self.assertEqual(0.0, bench.tokens())
+                harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
+                first = harness.sends(harness.start())[0]
+                self.assertEqual(1, len(harness.sends(harness.answer(first, outcome=outcome))))
+                self.assertEqual(0.0, harness.tokens())
 
     def test_a_redirected_retry_keeps_its_token(self):
-        bench = Bench({n: [(1, 0, builders.KEYS)] for n in (1, 2, 3, 4)})
-        first = bench.sends(bench.start())[0]
-        retry = bench.sends(bench.answer(first, outcome=SubCode.BROKEN))[0]
-        third = bench.sends(bench.answer(retry, 11.0, SubCode.DRAINING))[0]
-        self.assertEqual(0.0, bench.tokens())
-        self.assertEqual([], bench.sends(bench.answer(third, 12.0, SubCode.BROKEN)))
+        harness = CoreHarness({n: [(1, 0, builders.KEYS)] for n in (1, 2, 3, 4)})
+        first = harness.sends(harness.start())[0]
+        retry = harness.sends(harness.answer(first, outcome=SubCode.BROKEN))[0]
+        third = harness.sends(harness.answer(retry, 11.0, SubCode.DRAINING))[0]
+        self.assertEqual(0.0, harness.tokens())
+        self.assertEqual([], harness.sends(harness.answer(third, 12.0, SubCode.BROKEN)))
 
     def test_a_new_owner_is_asked_after_the_old_one_refused(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)]})
-        first = bench.sends(bench.start())[0]
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
+        first = harness.sends(harness.start())[0]
         refused = builders.reply((1, first[0], first[1], SubCode.WRONG_RECEIVER, 0, b""))
-        bench.relays[1] = RelayTarget("r9", 2)
-        effects = bench.core.on_reply("r1", refused, 5.0)
+        harness.relays[1] = RelayTarget("r9", 2)
+        effects = harness.core.on_reply("r1", refused, 5.0)
         self.assertEqual(["r9"], [e.relay for e in effects if isinstance(e, SendBatch)])
 
     def test_what_a_lost_relay_was_asked_is_asked_again(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
-        first = bench.sends(bench.start())[0]
-        again = bench.sends(bench.core.on_relay_gone(f"r{first[2]}", 5.0))
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
+        first = harness.sends(harness.start())[0]
+        again = harness.sends(harness.core.on_relay_gone(f"r{first[2]}", 5.0))
         self.assertEqual(1, len(again))
         self.assertNotEqual(first[2], again[0][2])
 
     def test_a_draining_searcher_is_not_sent_to(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
-        bench.core.on_report(UpstreamReport((1,), (UpstreamState.DRAINING,), (0,), (0,), (2,)))
-        self.assertEqual([2], [row[2] for row in bench.sends(bench.start())])
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
+        harness.core.on_report(UpstreamReport((1,), (UpstreamState.DRAINING,), (0,), (0,), (2,)))
+        self.assertEqual([2], [row[2] for row in harness.sends(harness.start())])
 
 
 class WaitTest(unittest.TestCase):
-    def all_shed(self, bench, wait_ms=20):
-        for row in bench.sends(bench.start()):
+    def all_shed(self, harness, wait_ms=20):
+        for row in harness.sends(harness.start()):
             while row is not None:
-                rows = bench.sends(bench.answer(row, 1.0, SubCode.SHED, wait_ms))
+                rows = harness.sends(harness.answer(row, 1.0, SubCode.SHED, wait_ms))
                 row = rows[0] if rows else None
 
     def test_all_replicas_shed_and_are_asked_again_after_the_wait(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)]}, builders.traffic_class(extra_load=1.0))
-        self.all_shed(bench)
-        self.assertEqual([], bench.sends(bench.core.tick(20.0)))
-        self.assertEqual(1, len(bench.sends(bench.core.tick(21.0))))
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)]}, builders.traffic_class(extra_load=1.0))
+        self.all_shed(harness)
+        self.assertEqual([], harness.sends(harness.core.tick(20.0)))
+        self.assertEqual(1, len(harness.sends(harness.core.tick(21.0))))
 
     def test_a_wait_past_the_deadline_is_given_up_at_once(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)]})
-        row = bench.sends(bench.start())[0]
-        (short,) = all_answers(bench.answer(row, 1.0, SubCode.SHED, 500))
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
+        row = harness.sends(harness.start())[0]
+        (short,) = all_answers(harness.answer(row, 1.0, SubCode.SHED, 500))
         self.assertEqual(["shed"], [missing.why for missing in short.answer.missing])
 
     def test_a_retry_that_cannot_be_sent_keeps_its_token(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)]})
-        self.all_shed(bench)
-        bench.relays.clear()
-        before = bench.tokens()
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
+        self.all_shed(harness)
+        harness.relays.clear()
+        before = harness.tokens()
         for now_ms in range(21, 100, 5):
-            bench.core.tick(float(now_ms))
-        self.assertEqual(before, bench.tokens())
+            harness.core.tick(float(now_ms))
+        self.assertEqual(before, harness.tokens())
 
     def test_waiting_parts_share_one_wake_up(self):
         spans = [(1, lo, lo + 1024) for lo in range(0, builders.KEYS, 1024)]
-        bench = Bench({1: spans}, builders.traffic_class(extra_load=0.0), hedging=True)
-        self.all_shed(bench)
+        harness = CoreHarness({1: spans}, builders.traffic_class(extra_load=0.0), hedging=True)
+        self.all_shed(harness)
         for now_ms in range(20, 100):
-            bench.core.tick(float(now_ms))
-            self.assertLessEqual(len(bench.core._state.open.due), 4)
+            harness.core.tick(float(now_ms))
+            self.assertLessEqual(len(harness.core._state.open.due), 4)
 
     def test_waiting_parts_are_asked_again_without_hedging_too(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)]}, hedging=False)
-        self.all_shed(bench)
-        target = bench.relays.pop(1)
-        bench.core.tick(21.0)
-        bench.relays[1] = target
-        self.assertLess(bench.core.next_due_ms(), 30.0)
-        self.assertEqual(1, len(bench.sends(bench.core.tick(bench.core.next_due_ms()))))
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)]}, hedging=False)
+        self.all_shed(harness)
+        target = harness.relays.pop(1)
+        harness.core.tick(21.0)
+        harness.relays[1] = target
+        self.assertLess(harness.core.next_due_ms(), 30.0)
+        self.assertEqual(1, len(harness.sends(harness.core.tick(harness.core.next_due_ms()))))
 
 
 class VersionTest(unittest.TestCase):
     def test_a_version_that_is_gone_is_replaced_and_never_mixed(self):
-        bench = Bench({1: [LOW, HIGH], 2: [(2, *LOW[1:]), (2, *HIGH[1:])]})
-        bench.catalog.on_state(2, UpstreamState.DOWN)
-        low, high = bench.sends(bench.start())
-        bench.catalog.on_state(2, UpstreamState.READY)
-        bench.answer(low, 5.0)
-        again = bench.sends(bench.answer(high, 6.0, SubCode.VERSION_GONE))
+        harness = CoreHarness({1: [LOW, HIGH], 2: [(2, *LOW[1:]), (2, *HIGH[1:])]})
+        harness.catalog.on_state(2, UpstreamState.DOWN)
+        low, high = harness.sends(harness.start())
+        harness.catalog.on_state(2, UpstreamState.READY)
+        harness.answer(low, 5.0)
+        again = harness.sends(harness.answer(high, 6.0, SubCode.VERSION_GONE))
         self.assertEqual([2, 2], [row[2] for row in again])
-        self.assertEqual([], bench.answer(low, 7.0))
-        bench.version = 2
-        bench.answer(again[0], 8.0)
-        (answer,) = all_answers(bench.answer(again[1], 9.0))
+        self.assertEqual([], harness.answer(low, 7.0))
+        harness.version = 2
+        harness.answer(again[0], 8.0)
+        (answer,) = all_answers(harness.answer(again[1], 9.0))
         self.assertEqual((2, 1.0, 2), (answer.version, answer.coverage, answer.stats.retries))
         spans = [LOW[1:], HIGH[1:]]
         self.assertEqual(builders.best_hits(2, spans), list(answer.hits))
 
     def test_a_version_that_reaches_less_does_not_replace_a_good_one(self):
         quarters = [(1, lo, lo + HALF // 2) for lo in range(0, builders.KEYS, HALF // 2)]
-        bench = Bench({1: quarters, 2: [(2, 0, HALF // 2)]})
-        rows = bench.sends(bench.start())
-        effects = bench.answer(rows[0], 5.0, SubCode.VERSION_GONE)
-        self.assertEqual([], bench.sends(effects))
+        harness = CoreHarness({1: quarters, 2: [(2, 0, HALF // 2)]})
+        rows = harness.sends(harness.start())
+        effects = harness.answer(rows[0], 5.0, SubCode.VERSION_GONE)
+        self.assertEqual([], harness.sends(effects))
         for row in rows[1:]:
-            effects = bench.answer(row, 6.0)
+            effects = harness.answer(row, 6.0)
         (answer,) = all_answers(effects)
         self.assertEqual((1, "version-gone"), (answer.version, answer.missing[0].why))
 
@@ -214,73 +221,73 @@
         for now_ms, replans in ((50.0, True), (150.0, False)):
             with self.subTest(now_ms):
                 held = {1: [LOW, HIGH], 2: [(2, 0, builders.KEYS)]}
-                bench = Bench(held, builders.traffic_class(least_coverage=0.4))
-                bench.catalog.on_state(2, UpstreamState.DOWN)
-                low, high = bench.sends(bench.start())
-                bench.catalog.on_state(2, UpstreamState.READY)
-                bench.answer(low, 5.0)
-                effects = bench.answer(high, now_ms, SubCode.VERSION_GONE)
-                self.assertEqual(replans, bool(bench.sends(effects)))
+                harness = CoreHarness(held, builders.traffic_class(least_coverage=0.4))
+                harness.catalog.on_state(2, UpstreamState.DOWN)
+                low, high = harness.sends(harness.start())
+                harness.catalog.on_state(2, UpstreamState.READY)
+                harness.answer(low, 5.0)
+                effects = harness.answer(high, now_ms, SubCode.VERSION_GONE)
+                self.assertEqual(replans, bool(harness.sends(effects)))
                 self.assertEqual(not replans, bool(all_answers(effects)))
 
     def test_replanned_sub_queries_earn_no_budget(self):
-        bench = Bench({1: [LOW, HIGH], 2: [(2, 0, builders.KEYS)]})
-        bench.catalog.on_state(2, UpstreamState.DOWN)
-        low, _ = bench.sends(bench.start())
-        before = bench.tokens()
-        bench.catalog.on_state(2, UpstreamState.READY)
-        self.assertEqual(1, len(bench.sends(bench.answer(low, 5.0, SubCode.VERSION_GONE))))
-        self.assertEqual(before, bench.tokens())
+        harness = CoreHarness({1: [LOW, HIGH], 2: [(2, 0, builders.KEYS)]})
+        harness.catalog.on_state(2, UpstreamState.DOWN)
+        low, _ = harness.sends(harness.start())
+        before = harness.tokens()
+        harness.catalog.on_state(2, UpstreamState.READY)
+        self.assertEqual(1, len(harness.sends(harness.answer(low, 5.0, SubCode.VERSION_GONE))))
+        self.assertEqual(before, harness.tokens())
 
 
 class RangeTest(unittest.TestCase):
     def test_a_range_that_was_split_is_asked_for_in_parts(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)]})
-        row = bench.sends(bench.start())[0]
-        bench.catalog.on_holdings(builders.holding(1, []))
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
+        row = harness.sends(harness.start())[0]
+        harness.catalog.on_holdings(builders.holding(1, []))
         for number, span in ((2, LOW), (3, HIGH)):
-            bench.catalog.on_holdings(builders.holding(number, [span]))
-            bench.relays[number] = RelayTarget(f"r{number}", 1)
-        halves = bench.sends(bench.answer(row, 5.0, SubCode.RANGE_MOVED))
+            harness.catalog.on_holdings(builders.holding(number, [span]))
+            harness.relays[number] = RelayTarget(f"r{number}", 1)
+        halves = harness.sends(harness.answer(row, 5.0, SubCode.RANGE_MOVED))
         self.assertEqual([LOW[1:], HIGH[1:]], sorted(half[3:] for half in halves))
-        bench.answer(halves[0], 6.0)
-        (answer,) = all_answers(bench.answer(halves[1], 7.0))
+        harness.answer(halves[0], 6.0)
+        (answer,) = all_answers(harness.answer(halves[1], 7.0))
         self.assertEqual((1.0, ()), (answer.coverage, answer.missing))
         self.assertEqual(builders.best_hits(1, [LOW[1:], HIGH[1:]]), list(answer.hits))
 
     def test_a_range_of_which_a_part_is_nowhere_is_listed_as_missing(self):
-        bench = Bench({1: [(1, 0, builders.KEYS)]})
-        row = bench.sends(bench.start())[0]
-        bench.catalog.on_holdings(builders.holding(1, []))
-        bench.catalog.on_holdings(builders.holding(2, [LOW]))
-        bench.relays[2] = RelayTarget("r2", 1)
-        (short,) = all_answers(bench.answer(row, 5.0, SubCode.RANGE_MOVED))
+        harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
+        row = harness.sends(harness.start())[0]
+        harness.catalog.on_holdings(builders.holding(1, []))
+        harness.catalog.on_holdings(builders.holding(2, [LOW]))
+        harness.relays[2] = RelayTarget("r2", 1)
+        (short,) = all_answers(harness.answer(row, 5.0, SubCode.RANGE_MOVED))
         missing = [(m.lo, m.hi, m.why) for m in short.answer.missing]
         self.assertEqual([(0, builders.KEYS, "range-moved")], missing)
 
 
 class EndTest(unittest.TestCase):
     def test_a_hopeless_query_falls_short_at_once_and_asks_nobody(self):
-        bench = Bench({1: [LOW]}, builders.traffic_class(least_coverage=0.9))
-        (short,) = bench.start()
+        harness = CoreHarness({1: [LOW]}, builders.traffic_class(least_coverage=0.9))
+        (short,) = harness.start()
         self.assertIsInstance(short, Shortfall)
         missing = [(m.lo, m.hi, m.why) for m in short.answer.missing]
         self.assertEqual([(*LOW[1:], "not-asked"), (*HIGH[1:], "no-replica")], missing)
 
     def test_a_query_that_gets_hopeless_falls_short_and_cancels(self):
-        bench = Bench({1: [LOW], 2: [HIGH]}, builders.traffic_class(least_coverage=0.9))
-        low, high = bench.sends(bench.start())
-        effects = bench.answer(low, 5.0, SubCode.DRAINING)
+        harness = CoreHarness({1: [LOW], 2: [HIGH]}, builders.traffic_class(least_coverage=0.9))
+        low, high = harness.sends(harness.start())
+        effects = harness.answer(low, 5.0, SubCode.DRAINING)
         self.assertIsInstance(all_answers(effects)[0], Shortfall)
         self.assertEqual([(1, *high[:2])], cancels(effects))
 
     def test_the_deadline_answers_with_what_is_covered(self):
         traffic = builders.traffic_class(least_coverage=0.4, prefers="coverage")
-        bench = Bench({1: [LOW], 2: [HIGH]}, traffic)
-        low, _ = bench.sends(bench.start())
-        bench.answer(low, 5.0)
-        self.assertEqual([], all_answers(bench.core.tick(195.0)))
-        (answer,) = all_answers(bench.core.tick(196.0))
+        harness = CoreHarness({1: [LOW], 2: [HIGH]}, traffic)
+        low, _ = harness.sends(harness.start())
+        harness.answer(low, 5.0)
+        self.assertEqual([], all_answers(harness.core.tick(195.0)))
+        (answer,) = all_answers(harness.core.tick(196.0))
         self.assertEqual(builders.count(*LOW), answer.covered_records)
         missing = [(m.lo, m.hi, m.records, m.why) for m in answer.missing]
         self.assertEqual([(*HIGH[1:], builders.count(*HIGH), "deadline")], missing)
@@ -289,41 +296,41 @@
     def test_latency_first_answers_from_half_the_deadline_with_what_is_enough(self):
         for least, at_ms in ((0.4, 100.0), (0.9, 196.0)):
             traffic = builders.traffic_class(least_coverage=least)
-            bench = Bench({1: [LOW], 2: [HIGH]}, traffic)
-            low, _ = bench.sends(bench.start())
-            bench.answer(low, 5.0)
-            self.assertEqual([], all_answers(bench.core.tick(at_ms - 1.0)))
-            (found,) = all_answers(bench.core.tick(at_ms))
+            harness = CoreHarness({1: [LOW], 2: [HIGH]}, traffic)
+            low, _ = harness.sends(harness.start())
+            harness.answer(low, 5.0)
+            self.assertEqual([], all_answers(harness.core.tick(at_ms - 1.0)))
+            (found,) = all_answers(harness.core.tick(at_ms))
             self.assertEqual(least < 0.5, isinstance(found, Answer))
 
     def test_latency_first_answers_at_once_when_enough_comes_late(self):
         traffic = builders.traffic_class(least_coverage=0.4)
-        bench = Bench({1: [LOW], 2: [HIGH]}, traffic)
-        low, _ = bench.sends(bench.start())
-        self.assertEqual([], all_answers(bench.core.tick(120.0)))
-        (answer,) = all_answers(bench.answer(low, 130.0))
+        harness = CoreHarness({1: [LOW], 2: [HIGH]}, traffic)
+        low, _ = harness.sends(harness.start())
+        self.assertEqual([], all_answers(harness.core.tick(120.0)))
+        (answer,) = all_answers(harness.answer(low, 130.0))
         self.assertEqual(["deadline"], [missing.why for missing in answer.missing])
 
     def test_nothing_announced_is_a_shortfall_and_no_version(self):
-        (short,) = Bench({}).start()
+        (short,) = CoreHarness({}).start()
         self.assertEqual((0, 0), (short.answer.version, short.answer.covered_records))
 
     def test_equal_scores_come_in_one_order(self):
         hits = {lo: [{"id": f"{lo}", "score": 0.5}] for lo in (0, HALF)}
         orders = []
         for flipped in (False, True):
-            bench = Bench({1: [LOW, HIGH]})
-            rows = sorted(bench.sends(bench.start()), reverse=flipped)
+            harness = CoreHarness({1: [LOW, HIGH]})
+            rows = sorted(harness.sends(harness.start()), reverse=flipped)
             for row in rows:
-                effects = bench.answer(row, hits=hits[row[3]])
+                effects = harness.answer(row, hits=hits[row[3]])
             orders.append([hit["id"] for hit in all_answers(effects)[0].hits])
         self.assertEqual(orders[0], orders[1])
 
 
 class ReplyTest(unittest.TestCase):
     def setUp(self):
-        self.bench = Bench({1: [(1, 0, builders.KEYS)]})
-        self.row = self.bench.sends(self.bench.start())[0]
+        self.harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
+        self.row = self.harness.sends(self.harness.start())[0]
         self.body = builders.found(1, 0, builders.KEYS)
 
     def test_other_relays_attempts_parts_and_calls_are_ignored(self):
@@ -335,12 +342,12 @@
         ):
             with self.subTest(relay=relay, key=key):
                 reply = builders.reply((*key, SubCode.ANSWERED, 0, self.body))
-                self.assertEqual([], self.bench.core.on_reply(relay, reply, 5.0))
-        self.assertEqual(1, len(all_answers(self.bench.answer(self.row, 6.0))))
+                self.assertEqual([], self.harness.core.on_reply(relay, reply, 5.0))
+        self.assertEqual(1, len(all_answers(self.harness.answer(self.row, 6.0))))
 
     def test_an_answer_given_twice_in_a_batch_counts_once(self):
         row = (1, 0, 0, SubCode.ANSWERED, 0, self.body)
-        (answer,) = self.bench.core.on_reply("r1", builders.reply(row, row), 5.0)
+        (answer,) = self.harness.core.on_reply("r1", builders.reply(row, row), 5.0)
         self.assertEqual(builders.count(1, 0, builders.KEYS), answer.covered_records)
 
     def test_malformed_answers_are_not_merged(self):
@@ -364,9 +371,9 @@
             good.replace(b'"title":', b'"more":' + deep + b',"title":', 1),
         ):
             with self.subTest(body[:80]):
-                bench = Bench({1: [(1, 0, builders.KEYS)]}, hedging=False)
-                row = bench.sends(bench.start())[0]
-                effects = bench.answer(row, 195.0, body=body or b" ")
+                harness = CoreHarness({1: [(1, 0, builders.KEYS)]}, hedging=False)
+                row = harness.sends(harness.start())[0]
+                effects = harness.answer(row, 195.0, body=body or b" ")
                 (short,) = all_answers(effects)
                 self.assertIsInstance(short, Shortfall)
                 self.assertEqual(["broken"], [missing.why for missing in short.answer.missing])
--- a/rhubarbhinge/query/tests/test_owner_waits.py
+++ b/rhubarbhinge/query/tests/test_owner_waits.py
@@ -8,39 +8,39 @@
 
 from rhubarbhinge.query import QueryPolicy, all_answers
 from rhubarbhinge.query.tests import builders
-from rhubarbhinge.query.tests.core_bench import Bench
+from rhubarbhinge.query.tests.core_harness import CoreHarness
 from rhubarbhinge.wire import SubCode
 
 
 class OwnerWaitTest(unittest.TestCase):
     def setUp(self):
         traffic = builders.traffic_class(least_coverage=0.0, extra_load=0.0)
-        self.bench = Bench({1: [(1, 0, builders.KEYS)]}, traffic)
-        self.relay = self.bench.relays[1]
+        self.harness = CoreHarness({1: [(1, 0, builders.KEYS)]}, traffic)
+        self.relay = self.harness.relays[1]
 
     def start_unlinked(self, expected):
-        del self.bench.relays[1]
+        del self.harness.relays[1]
         if expected:
-            self.bench.expected.add(1)
-        return self.bench.start(deadline_ms=5_000.0)
+            self.harness.expected.add(1)
+        return self.harness.start(deadline_ms=5_000.0)
 
-    def look_until(self, end_ms):
+    def tick_until(self, end_ms):
         """Let the core look whenever it is due; give the effects."""
         effects = []
-        while (due_ms := self.bench.core.next_due_ms()) is not None and due_ms <= end_ms:
-            effects += self.bench.core.tick(due_ms)
+        while (due_ms := self.harness.core.next_due_ms()) is not None and due_ms <= end_ms:
+            effects += self.harness.core.tick(due_ms)
         return effects
 
     def answered(self, row, now_ms):
-        (answer,) = all_answers(self.bench.answer(row, now_ms))
+        (answer,) = all_answers(self.harness.answer(row, now_ms))
         return answer.coverage
 
     def test_a_part_waits_for_a_relay_that_is_about_to_be_linked(self):
         """Guards against a range that is given up at once while its relay is linked anew."""
         self.assertEqual([], self.start_unlinked(expected=True))
-        self.assertEqual([], self.look_until(300.0))
-        self.bench.relays[1] = self.relay
-        (row,) = self.bench.sends(self.look_until(400.0))
+        self.assertEqual([], self.tick_until(300.0))
+        self.harness.relays[1] = self.relay
+        (row,) = self.harness.sends(self.tick_until(400.0))
         self.assertEqual(1.0, self.answered(row, 410.0))
 
     def test_a_part_without_an_expected_relay_is_given_up_at_once(self):
@@ -49,41 +49,41 @@
 
     def test_a_part_is_given_up_once_its_relay_is_no_longer_expected(self):
         self.start_unlinked(expected=True)
-        self.assertEqual([], self.look_until(300.0))
-        self.bench.expected.clear()
-        (answer,) = all_answers(self.look_until(400.0))
+        self.assertEqual([], self.tick_until(300.0))
+        self.harness.expected.clear()
+        (answer,) = all_answers(self.tick_until(400.0))
         self.assertEqual(["no-replica"], [missing.why for missing in answer.missing])
 
     def test_a_class_that_prefers_latency_is_answered_at_half_the_deadline(self):
         self.start_unlinked(expected=True)
-        self.assertEqual([], all_answers(self.look_until(2_499.0)))
-        (answer,) = all_answers(self.look_until(2_500.0))
+        self.assertEqual([], all_answers(self.tick_until(2_499.0)))
+        (answer,) = all_answers(self.tick_until(2_500.0))
         self.assertEqual(["no-replica"], [missing.why for missing in answer.missing])
 
     def test_a_relay_that_does_not_own_a_replica_yet_is_asked_until_it_does(self):
         """Guards against attempts that are used up while relays agree on an owner."""
-        (row,) = self.bench.sends(self.bench.start(deadline_ms=5_000.0))
+        (row,) = self.harness.sends(self.harness.start(deadline_ms=5_000.0))
         now_ms, refusals = 1.0, 0
         while now_ms < 600.0:
-            self.assertEqual([], self.bench.answer(row, now_ms, SubCode.WRONG_RECEIVER))
+            self.assertEqual([], self.harness.answer(row, now_ms, SubCode.WRONG_RECEIVER))
             refusals += 1
             rows = []
             while not rows:
-                now_ms = self.bench.core.next_due_ms()
-                rows = self.bench.sends(self.bench.core.tick(now_ms))
+                now_ms = self.harness.core.next_due_ms()
+                rows = self.harness.sends(self.harness.core.tick(now_ms))
             (row,) = rows
-        self.assertGreater(refusals, QueryPolicy().most_attempts)
+        self.assertGreater(refusals, QueryPolicy().max_attempts)
         self.assertEqual(1.0, self.answered(row, now_ms))
 
     def test_what_a_lost_relay_was_sent_is_sent_to_it_again_without_spending(self):
         """Guards against parts that wait for a token though nothing of theirs runs."""
-        self.bench.start(deadline_ms=5_000.0)
-        self.bench.expected.add(1)
-        del self.bench.relays[1]
-        self.assertEqual([], self.bench.core.on_relay_gone(self.relay.name, 10.0))
-        self.assertEqual([], self.look_until(100.0))
-        self.bench.relays[1] = self.relay
-        (row,) = self.bench.sends(self.look_until(200.0))
+        self.harness.start(deadline_ms=5_000.0)
+        self.harness.expected.add(1)
+        del self.harness.relays[1]
+        self.assertEqual([], self.harness.core.on_relay_gone(self.relay.name, 10.0))
+        self.assertEqual([], self.tick_until(100.0))
+        self.harness.relays[1] = self.relay
+        (row,) = self.harness.sends(self.tick_until(200.0))
         self.assertEqual(1.0, self.answered(row, 210.0))
 
 
--- a/rhubarbhinge/query/tests/test_schedules.py
+++ b/rhubarbhinge/query/tests/test_schedules.py
@@ -24,8 +24,8 @@
 )
 
 
-def play(seed: int, trouble: float, policy: QueryPolicy, steps: list) -> Schedule:
-    schedule = Schedule(seed, trouble, policy)
+def run_schedule(seed: int, fault_rate: float, policy: QueryPolicy, steps: list) -> Schedule:
+    schedule = Schedule(seed, fault_rate, policy)
     for name, first, second in steps:
         getattr(schedule, name)(first, second)
     schedule.run(1_000)
@@ -45,8 +45,8 @@
         st.sampled_from(POLICIES),
         st.lists(STEP, min_size=10, max_size=50),
     )
-    def test_every_answer_is_whole_true_and_in_time(self, seed, trouble, policy, steps):
-        schedule = play(seed, trouble, policy, steps)
+    def test_every_answer_is_whole_true_and_in_time(self, seed, fault_rate, policy, steps):
+        schedule = run_schedule(seed, fault_rate, policy, steps)
         self.assertEqual([], own_answer(schedule.events, self.is_own(schedule)))
         self.assertEqual([], one_snapshot(schedule.events, snapshot_of))
         self.assertEqual([], true_coverage(schedule.events, records.record_count))
@@ -87,17 +87,18 @@
                 for key, number in sends.items()
                 if schedule.requests[key[0]].traffic_class is traffic
             )
-            floor = (schedule.now_ms - START_MS) // QueryPolicy().floor_period_ms
+            floor = (schedule.now_ms - START_MS) // QueryPolicy().floor_interval_ms
             self.assertLessEqual(extra, schedule.earned[traffic.name] + floor + 1e-6)
 
     def check_nothing_is_left(self, schedule):
         core = schedule.core
         self.assertEqual(set(schedule.sent), schedule.ended & set(schedule.sent))
         self.assertEqual(
-            (0, {}, []), (core.in_flight(), core._state.open.call_by_request, core._state.open.due)
+            (0, {}, []),
+            (core.in_flight(), core._state.open.call_id_by_request, core._state.open.due),
         )
         self.assertEqual(
-            {0}, {seen.outstanding for seen in core._state.scores._seen.values()} | {0}
+            {0}, {stats.outstanding for stats in core._state.scores._stats.values()} | {0}
         )
 
 
