--- a/rhubarbhinge/once/_book.py
+++ b/rhubarbhinge/once/_book.py
@@ -46,7 +46,7 @@
 
     @property
     def held(self) -> int:
-        """Tell how many tickets are held.
+        """Return how many tickets are held.
 
         :returns: the number of records, of any state.
         """
@@ -187,7 +187,7 @@
         return self._from_keys(self._keys.on_peer_gone(entry, now_ms), now_ms)
 
     def owners_asked(self) -> set[tuple[str, int]]:
-        """Give the entries that were passed tickets and have not answered.
+        """Return the entries that were passed tickets and have not answered.
 
         :returns: names and incarnations.
         """
--- a/rhubarbhinge/once/_forwards.py
+++ b/rhubarbhinge/once/_forwards.py
@@ -41,7 +41,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no more calls can be opened.
+        """Return whether no more calls can be opened.
 
         :returns: True if so.
         """
@@ -49,7 +49,7 @@
 
     @property
     def last_deadline_ms(self) -> int:
-        """Tell when the last open call is given up.
+        """Return when the last open call is given up.
 
         :returns: the time on this entry's clock; 0 if none is open.
         """
@@ -67,14 +67,14 @@
         return call
 
     def owners(self) -> set[tuple[str, int]]:
-        """Give the processes that are asked.
+        """Return the processes that are asked.
 
         :returns: names and incarnations.
         """
         return {(pending.owner, pending.owner_incarnation) for pending in self._pending.values()}
 
     def of_owner(self, owner: str, incarnation: int) -> dict[int, PendingForward]:
-        """Give the open calls to one process.
+        """Return the open calls to one process.
 
         :param owner: name of the entry.
         :param incarnation: its incarnation.
--- a/rhubarbhinge/once/_key_owners.py
+++ b/rhubarbhinge/once/_key_owners.py
@@ -48,7 +48,7 @@
         }
 
     def is_current(self, now_ms: int) -> bool:
-        """Tell whether the list is young enough to be used.
+        """Return whether the list is young enough to be used.
 
         :param now_ms: time on this entry's clock.
         :returns: False if there is no list, or it was confirmed too long ago.
@@ -58,7 +58,7 @@
         return now_ms - self._confirmed_ms < self._list_age_ms
 
     def is_listed(self, name: str) -> bool:
-        """Tell whether the list names an entry now.
+        """Return whether the list names an entry now.
 
         :param name: name of the entry.
         :returns: True if so.
--- a/rhubarbhinge/once/_ledger.py
+++ b/rhubarbhinge/once/_ledger.py
@@ -37,14 +37,14 @@
 
     @property
     def running(self) -> int:
-        """Tell how many tickets are consumed and have no outcome yet.
+        """Return how many tickets are consumed and have no outcome yet.
 
         :returns: the number.
         """
         return len(self._running)
 
     def unused(self, now_ms: int) -> int:
-        """Tell how many tickets have neither expired nor been used.
+        """Return how many tickets have neither expired nor been used.
 
         :param now_ms: time on this entry's clock.
         :returns: the number.
@@ -52,7 +52,7 @@
         return sum(_is_unused(record, now_ms) for record in self._records.values())
 
     def open_until_ms(self, now_ms: int) -> int:
-        """Tell when the last open ticket is over at the latest.
+        """Return when the last open ticket is over at the latest.
 
         :param now_ms: time on this entry's clock.
         :returns: that time; now if none is open.
@@ -62,7 +62,7 @@
         return max(ends, default=now_ms)
 
     def full_for_ms(self, now_ms: int) -> int:
-        """Tell how long no ticket can be minted.
+        """Return how long no ticket can be minted.
 
         :param now_ms: time on this entry's clock.
         :returns: time until the next place is free, in ms; 0 if one is free.
@@ -281,6 +281,6 @@
 
 
 def _may_replace(old: Outcome | None, kind: OutcomeKind) -> bool:
-    """Tell whether late news replaces an outcome; only an answer does, and only ``unknown``."""
+    """Return whether late news replaces an outcome; only an answer does, and only ``unknown``."""
     was_unknown = old is not None and old.kind is OutcomeKind.UNKNOWN
     return was_unknown and kind is OutcomeKind.RAN
--- a/rhubarbhinge/once/_run_results.py
+++ b/rhubarbhinge/once/_run_results.py
@@ -69,7 +69,7 @@
         self._runs.pop(ticket, None)
 
     def is_open(self, request: RunRequest) -> bool:
-        """Tell whether the run of a message was taken before and has not ended.
+        """Return whether the run of a message was taken before and has not ended.
 
         :param request: the message.
         :returns: True while its result is still to come.
@@ -78,7 +78,7 @@
         return run is not None and run.reply is None
 
     def recall(self, request: RunRequest) -> RunReply | None:
-        """Give the result of a run that was taken before.
+        """Return the result of a run that was taken before.
 
         :param request: the message.
         :returns: the reply, None when the run is new, open, or no longer kept.
--- a/rhubarbhinge/once/_sent_runs.py
+++ b/rhubarbhinge/once/_sent_runs.py
@@ -44,7 +44,7 @@
         return True
 
     def relays(self) -> set[tuple[str, int]]:
-        """Give the relays that have runs.
+        """Return the relays that have runs.
 
         :returns: names and incarnations.
         """
@@ -52,7 +52,7 @@
         return {(run.request.relay, run.request.relay_incarnation) for run in runs}
 
     def of_relay(self, relay: str, incarnation: int) -> list[RunRequest]:
-        """Give the open runs of one process of a relay, in the order in which they were sent.
+        """Return the open runs of one process of a relay, in the order in which they were sent.
 
         :param relay: its node name.
         :param incarnation: its incarnation.
--- a/rhubarbhinge/once/_signer.py
+++ b/rhubarbhinge/once/_signer.py
@@ -84,7 +84,7 @@
         return TicketFault(Code.EXPIRED) if now_ms >= ticket.expires_ms else ticket
 
     def owns(self, ticket: Ticket) -> bool:
-        """Tell whether this incarnation minted a ticket.
+        """Return whether this incarnation minted a ticket.
 
         :param ticket: a checked ticket.
         :returns: True if both name and incarnation are this entry's.
--- a/rhubarbhinge/query/__init__.py
+++ b/rhubarbhinge/query/__init__.py
@@ -1,4 +1,4 @@
-"""Queries over many shards: plan, snapshot pin, coverage, hedges, merge, deadline."""
+"""Distributed queries: planning, snapshot pinning, hedging, retries, merging and deadlines."""
 
 from rhubarbhinge.query._catalog import FIRST_KEY, LAST_KEY, Catalog
 from rhubarbhinge.query._core import QueryCore, all_answers
--- a/rhubarbhinge/query/_catalog.py
+++ b/rhubarbhinge/query/_catalog.py
@@ -1,4 +1,4 @@
-"""What the searchers announce: index versions, ranges, and whether they take work."""
+"""Catalog of the searchers' announced index versions, key ranges and states."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 class Catalog:
-    """The announcements of all searchers, and the plans that follow from them."""
+    """Announcements and states of all searchers, and query plans made from them."""
 
     def __init__(self) -> None:
         self._report_by_upstream: dict[int, HoldingReport] = {}
@@ -32,9 +32,9 @@
         self._stale = False
 
     def on_holdings(self, report: HoldingReport) -> None:
-        """Take a searcher's announcement; one of an older incarnation is ignored.
+        """Handle a searcher's announcement; one of an older incarnation is ignored.
 
-        :param report: all that the searcher holds.
+        :param report: all key ranges that the searcher holds.
         """
         known = self._report_by_upstream.get(report.upstream_id)
         if known is not None and report.incarnation < known.incarnation:
@@ -45,13 +45,13 @@
         self._stale = True
 
     def on_state(self, upstream_id: int, state: UpstreamState) -> None:
-        """Take a searcher's state.
+        """Handle a change of a searcher's state.
 
-        A drain lasts until the searcher has been heard from: a relay that has just become its owner
-        may not know of it yet.
+        A drain lasts until the searcher is reported ready or warming, or announces a newer
+        incarnation, as a relay that has just become its owner may not know of the drain yet.
 
         :param upstream_id: the searcher.
-        :param state: what its relay sees.
+        :param state: its state, as reported by its relay.
         """
         was_usable = self.usable(upstream_id)
         self._state_by_upstream[upstream_id] = state
@@ -63,7 +63,7 @@
             self._plans.clear()
 
     def forget(self, upstream_ids: Iterable[int]) -> None:
-        """Drop searchers that are no longer in the register.
+        """Remove searchers that are no longer in the register.
 
         :param upstream_ids: the searchers.
         """
@@ -74,30 +74,30 @@
         self._stale = True
 
     def known(self) -> frozenset[int]:
-        """Give the searchers that have announced something.
+        """Return the searchers that have announced key ranges.
 
         :returns: their numbers.
         """
         return frozenset(self._report_by_upstream)
 
     def usable(self, upstream_id: int) -> bool:
-        """Say whether a searcher takes new work, as far as is known.
+        """Return whether a searcher accepts new work, as far as is known.
 
         :param upstream_id: the searcher.
-        :returns: False when it drains or is down.
+        :returns: False when it is draining or down.
         """
         return upstream_id not in self._draining and self.state(upstream_id) in _USABLE_STATES
 
     def state(self, upstream_id: int) -> UpstreamState:
-        """Give a searcher's state.
+        """Return a searcher's state.
 
         :param upstream_id: the searcher.
-        :returns: what its relay reported last.
+        :returns: the state that its relay reported last.
         """
         return self._state_by_upstream.get(upstream_id, UpstreamState.UNKNOWN)
 
     def versions(self, collection: str) -> tuple[int, ...]:
-        """Give the announced index versions of a collection.
+        """Return the announced index versions of a collection.
 
         :param collection: its name.
         :returns: the versions, newest first.
@@ -106,12 +106,13 @@
         return tuple(sorted(self._holders.get(collection, ()), reverse=True))
 
     def plan(self, collection: str, excluded: frozenset[int] = frozenset()) -> Plan:
-        """Pin an index version and choose the ranges that answer.
+        """Return a query plan: a pinned index version and disjoint ranges of it.
 
-        The version that reaches the most records wins, the newest among equals.
+        The version whose ranges contain the largest fraction of its records is selected, the
+        newest in case of a tie.
 
         :param collection: its name.
-        :param excluded: versions that were tried and are gone.
+        :param excluded: versions that are no longer available.
         :returns: the plan; without ranges when nothing is announced.
         """
         self._refresh()
@@ -122,13 +123,13 @@
         return plan
 
     def holders(self, collection: str, version: int, lo: int, hi: int) -> tuple[int, ...]:
-        """Give the searchers that announce all of a range, whether they take work or not.
+        """Return the searchers that announce a whole range, whether they are usable or not.
 
         :param collection: its name.
         :param version: the index version.
         :param lo: first key.
-        :param hi: key after the last.
-        :returns: their numbers, in order.
+        :param hi: end of the range, exclusive.
+        :returns: their numbers, in ascending order.
         """
         self._refresh()
         holders = self._holders.get(collection, {}).get(version, {})
@@ -136,12 +137,12 @@
         return tuple(sorted(found))
 
     def split_range(self, collection: str, version: int, lo: int, hi: int) -> tuple[KeyRange, ...]:
-        """Cut a range anew, after its shard has moved.
+        """Split a range by the current announcements, after its shard has moved.
 
         :param collection: its name.
         :param version: the pinned version.
         :param lo: first key.
-        :param hi: key after the last.
+        :param hi: end of the range, exclusive.
         :returns: disjoint ranges within the range.
         """
         self._refresh()
@@ -239,10 +240,10 @@
 
 
 def _majority_count(votes: Counter[int]) -> int:
-    """Choose what most searchers say; the lowest among equals, so as not to overstate."""
+    """Return the most frequent count, the lowest in case of a tie, to not overstate coverage."""
     return max(votes, key=lambda count: (votes[count], -count))
 
 
 def _majority_total(votes: Counter[int]) -> int:
-    """Choose what most searchers say; the highest among equals, so as not to overstate."""
+    """Return the most frequent total, the highest in case of a tie, to not overstate coverage."""
     return max(votes, key=lambda total: (votes[total], total))
--- a/rhubarbhinge/query/_completion.py
+++ b/rhubarbhinge/query/_completion.py
@@ -1,21 +1,24 @@
-"""End queries: when nothing is open, when coverage is out of reach, at the deadline."""
+"""Completion of queries: all parts done, coverage unattainable, or deadline reached."""
 
 from rhubarbhinge.query._effects import Answer, Effect, Shortfall
 from rhubarbhinge.query._merging import merged_answer
 from rhubarbhinge.query._query import Part, Query
 from rhubarbhinge.query._shared_query_state import SharedQueryState
 
-#: A caller is told to wait this long at least after a shortfall.
+#: Lower bound of the retry delay that a shortfall tells the caller.
 _MIN_RETRY_AFTER_MS = 100.0
 
 
 def finish_if_decided(state: SharedQueryState, query: Query, now_ms: float) -> list[Effect]:
-    """End a query if no part is open, its coverage is enough by now, or can't become enough.
+    """Finish a query whose outcome is decided.
+
+    This is so if no part is open, if its class's minimum coverage can no longer be reached, or if
+    that is reached and the time of early answers has come.
 
     :param state: the entry's state.
-    :param query: the query; one that has ended is left alone.
-    :param now_ms: the time.
-    :returns: its answer, or nothing.
+    :param query: the query; one that has ended is ignored.
+    :param now_ms: current time in ms.
+    :returns: the query's answer, or an empty list.
     """
     if not state.open.is_open(query):
         return []
@@ -28,11 +31,11 @@
 
 
 def early_answer_ms(state: SharedQueryState, query: Query) -> float:
-    """Give the time from which enough coverage ends a query.
+    """Return the time from which a query is answered as soon as its minimum coverage is reached.
 
     :param state: the entry's state.
     :param query: the query.
-    :returns: within the deadline for a class that prefers latency, else the deadline.
+    :returns: before the deadline for a class that prefers latency, else the deadline.
     """
     if query.request.traffic_class.prefers == "coverage":
         return query.deadline_ms
@@ -45,12 +48,12 @@
 
 
 def finish(state: SharedQueryState, query: Query, now_ms: float) -> Answer | Shortfall:
-    """End a query with what it has; open parts are given up.
+    """Answer a query with its current hits and give up its open parts.
 
     :param state: the entry's state.
     :param query: the query.
-    :param now_ms: the time.
-    :returns: its answer, or a shortfall when that covers too little.
+    :param now_ms: current time in ms.
+    :returns: the answer, or a shortfall when its coverage is below the class's minimum.
     """
     for part in query.parts.values():
         if not part.done:
@@ -64,34 +67,34 @@
 
 
 def cancel_and_remove(state: SharedQueryState, query: Query, now_ms: float) -> None:
-    """Cancel what a query still waits for and forget it.
+    """Cancel a query's outstanding attempts and remove it from the open queries.
 
     :param state: the entry's state.
     :param query: the query.
-    :param now_ms: the time.
+    :param now_ms: current time in ms.
     """
     cancel_all(state, query, now_ms)
     state.open.remove(query)
 
 
 def cancel_all(state: SharedQueryState, query: Query, now_ms: float) -> None:
-    """Cancel the outstanding attempts of all parts.
+    """Cancel the outstanding attempts of all parts of a query.
 
     :param state: the entry's state.
     :param query: the query.
-    :param now_ms: the time.
+    :param now_ms: current time in ms.
     """
     for part in query.parts.values():
         cancel_outstanding(state, query, part, now_ms)
 
 
 def cancel_outstanding(state: SharedQueryState, query: Query, part: Part, now_ms: float) -> None:
-    """Cancel the outstanding attempts of a part, and return the token of one that was to come.
+    """Cancel the outstanding attempts of a part and refund the token of its planned retry.
 
     :param state: the entry's state.
     :param query: the query.
     :param part: the part.
-    :param now_ms: the time.
+    :param now_ms: current time in ms.
     """
     for number, attempt in part.attempts.items():
         state.scores.on_overdue(attempt.upstream_id, now_ms - attempt.sent_ms, now_ms)
--- a/rhubarbhinge/query/_core.py
+++ b/rhubarbhinge/query/_core.py
@@ -1,4 +1,4 @@
-"""Carries queries out: fans out, hedges, retries, merges, and answers in time."""
+"""The query core: fan-out, hedging, retries, merging and deadlines of all queries."""
 
 import random
 from collections.abc import Iterable
@@ -24,14 +24,14 @@
 
 
 class QueryCore:
-    """All queries of one entry.
+    """All queries of one entry, without I/O: methods return the effects to carry out.
 
     :param policy: constants and switches.
-    :param catalog: what the searchers announce; the daemon feeds it.
-    :param relay_of: gives the relay that owns a searcher, None when there is none to send to.
+    :param catalog: the searchers' announcements; the daemon updates it.
+    :param relay_of: returns the relay that owns a searcher, or None when no relay is reachable.
     :param rng: source of random choices.
-    :param is_expected: tells whether a searcher without a relay will have one again soon, so that
-        a part may wait for it.
+    :param is_expected: returns whether a searcher without a relay is expected to have one again
+        soon, so that a part may wait for it.
     """
 
     def __init__(
@@ -46,25 +46,25 @@
         self._sequence = 0
 
     def in_flight(self) -> int:
-        """Give the number of open queries.
+        """Return the number of open queries.
 
         :returns: the number.
         """
         return len(self._state.open.queries)
 
     def next_due_ms(self) -> float | None:
-        """Give the time of the next tick that has something to do.
+        """Return the time at which the next tick is due.
 
-        :returns: milliseconds on the caller's clock, None when there is nothing.
+        :returns: milliseconds on the caller's clock, or None when nothing is scheduled.
         """
         return self._state.open.next_due_ms()
 
     def start(self, request: SearchRequest, now_ms: float) -> list[Effect]:
-        """Begin a query.
+        """Start a query.
 
-        :param request: the search, admitted.
-        :param now_ms: the time.
-        :returns: sub-queries to send, or the answer when nothing can be asked.
+        :param request: the admitted search.
+        :param now_ms: current time in ms.
+        :returns: sub-queries to send, or the answer when no searcher can be asked.
         """
         self._sequence += 1
         query = Query(self._sequence, request, now_ms)
@@ -75,12 +75,12 @@
         return effects + self._flush(now_ms)
 
     def on_reply(self, relay: str, batch: ReplyBatch, now_ms: float) -> list[Effect]:
-        """Take answers of a relay.
+        """Handle a relay's replies to sub-queries.
 
-        :param relay: the relay's node name, as its link says.
-        :param batch: the answers.
-        :param now_ms: the time.
-        :returns: what follows.
+        :param relay: the relay's node name, from its link.
+        :param batch: the replies; those that match no outstanding attempt are ignored.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         state = self._state
         effects: list[Effect] = []
@@ -107,9 +107,9 @@
         return effects + self._flush(now_ms)
 
     def on_report(self, report: UpstreamReport) -> None:
-        """Take a relay's report of its searchers.
+        """Handle a relay's report on its searchers.
 
-        :param report: states and loads.
+        :param report: states and loads of the searchers.
         """
         rows = zip(
             report.upstream_ids,
@@ -124,11 +124,11 @@
             self._state.scores.on_report(upstream_id, queued, in_flight, slots)
 
     def on_relay_gone(self, relay: str, now_ms: float) -> list[Effect]:
-        """A relay's link is lost: what it was sent is asked again elsewhere.
+        """Handle the loss of a relay's link: resend its outstanding sub-queries elsewhere.
 
         :param relay: the relay's node name.
-        :param now_ms: the time.
-        :returns: what follows.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Effect] = []
         for query in list(self._state.open.queries.values()):
@@ -137,11 +137,11 @@
         return effects + self._flush(now_ms)
 
     def abandon(self, request_id: int, now_ms: float) -> list[Effect]:
-        """The caller is gone: stop its query.
+        """Cancel the query of a caller that has disconnected.
 
         :param request_id: the caller's request.
-        :param now_ms: the time.
-        :returns: cancels.
+        :param now_ms: current time in ms.
+        :returns: cancellations to send.
         """
         query = self._state.open.of_request(request_id)
         if query is not None:
@@ -149,10 +149,10 @@
         return self._flush(now_ms)
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Do what is due: hedges and deadlines.
+        """Process all queries that are due: hedges, retries and deadlines.
 
-        :param now_ms: the time.
-        :returns: what follows.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Effect] = []
         while (query := self._state.open.pop_due(now_ms)) is not None:
@@ -175,9 +175,9 @@
 
 
 def all_answers(effects: Iterable[Effect]) -> list[Answer | Shortfall]:
-    """Pick the final outcomes out of effects.
+    """Return the final outcomes among effects.
 
-    :param effects: what the core asked for.
+    :param effects: effects returned by the core.
     :returns: answers and shortfalls.
     """
     return [effect for effect in effects if isinstance(effect, Answer | Shortfall)]
--- a/rhubarbhinge/query/_effects.py
+++ b/rhubarbhinge/query/_effects.py
@@ -1,4 +1,4 @@
-"""What the query core asks of its daemon."""
+"""Effects that the query core returns for its daemon to carry out."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCancel:
-    """Give sub-queries up.
+    """Cancel sub-queries.
 
     :param relay: the relay's node name.
     :param batch: the message.
@@ -32,13 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryStats:
-    """What a query cost.
+    """Duration and sub-queries of a query.
 
-    :param took_ms: from start to answer.
+    :param took_ms: time from start to answer.
     :param base: sub-queries that any answer needs.
     :param hedges: second sub-queries for slow parts.
-    :param retries: sub-queries after a refusal or failure that counts as load.
-    :param redirects: sub-queries sent again without load: the first was refused as not run.
+    :param retries: sub-queries resent after a refusal or failure, which are extra load, or after
+        the pinned index version was gone.
+    :param redirects: sub-queries resent without extra load: the previous one was not run, or was
+        lost with its relay or searcher.
     """
 
     took_ms: float
@@ -55,11 +57,11 @@
     :param request_id: the caller's request.
     :param collection: the collection.
     :param version: the one index version that all hits are from.
-    :param hits: best first, each as the searcher gave it.
-    :param covered_records: records searched.
-    :param total_records: records of the collection at that version.
-    :param missing: what was not searched.
-    :param stats: what it cost.
+    :param hits: the hits as the searchers returned them, best first.
+    :param covered_records: number of records searched.
+    :param total_records: number of records of the collection at that version.
+    :param missing: key ranges that were not searched.
+    :param stats: duration and number of sub-queries.
     """
 
     request_id: int
@@ -73,9 +75,9 @@
 
     @property
     def coverage(self) -> float:
-        """Give the share of records searched.
+        """Return the fraction of the collection's records that was searched.
 
-        :returns: between 0 and 1; 1 for a collection without records that was searched whole.
+        :returns: between 0 and 1; 1 for an empty collection of which no range is missing.
         """
         if self.total_records == 0:
             return 0.0 if self.missing else 1.0
@@ -84,11 +86,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Shortfall:
-    """Tell the caller that its class's least coverage cannot be met.
+    """Tell the caller that its class's minimum coverage cannot be met.
 
-    :param answer: what there is; its hits are left out.
-    :param least_coverage: what the class asks for.
-    :param retry_after_ms: when to come back.
+    :param answer: the partial answer; its hits are left out.
+    :param least_coverage: the class's minimum coverage.
+    :param retry_after_ms: delay after which the caller may retry.
     """
 
     answer: Answer
--- a/rhubarbhinge/query/_extra_load_budget.py
+++ b/rhubarbhinge/query/_extra_load_budget.py
@@ -1,15 +1,15 @@
-"""The budget that hedges and retries share."""
+"""The token budget shared by hedges and retries."""
 
 
 class ExtraLoadBudget:
-    """Lets extra sub-queries through as a share of the base ones.
+    """Limits extra sub-queries to a fraction of the base ones.
 
-    Every base sub-query earns a share of a token; a hedge or a retry spends a whole one. Tokens
-    kept are bounded, so that a quiet hour does not pay for a burst. With little traffic a share
-    is next to nothing; so one extra sub-query is let through now and then all the same.
+    Every base sub-query credits a fraction of a token; a hedge or a retry spends a whole one. The
+    number of tokens is bounded, so that a quiet hour does not pay for a burst. As low traffic
+    credits next to nothing, one extra sub-query per interval is allowed without a token.
 
-    :param max_tokens: the bound.
-    :param floor_interval_ms: least time between two that are let through without a token.
+    :param max_tokens: maximum number of accumulated tokens.
+    :param floor_interval_ms: minimum time between two sub-queries allowed without a token.
     """
 
     def __init__(self, max_tokens: float, floor_interval_ms: float) -> None:
@@ -19,18 +19,18 @@
         self._tokens = 0.0
 
     def credit(self, base: int, extra_load: float) -> None:
-        """Count base sub-queries.
+        """Credit tokens for base sub-queries.
 
-        :param base: how many were sent.
-        :param extra_load: the class's share, such as 0.05.
+        :param base: number of base sub-queries sent.
+        :param extra_load: tokens per base sub-query of the class, such as 0.05.
         """
         self._tokens = min(self._max_tokens, self._tokens + base * extra_load)
 
     def try_spend(self, now_ms: float) -> bool:
-        """Ask for one extra sub-query.
+        """Spend a token on one extra sub-query, if possible.
 
-        :param now_ms: the time.
-        :returns: whether it may be sent.
+        :param now_ms: current time in ms.
+        :returns: whether the sub-query may be sent.
         """
         if self._tokens < 1.0:
             return self._try_spend_at_floor(now_ms)
@@ -46,5 +46,5 @@
         return True
 
     def refund(self) -> None:
-        """Return a token, because the extra sub-query was refused without being run."""
+        """Refund the token of an extra sub-query that was not sent or not run."""
         self._tokens = min(self._max_tokens, self._tokens + 1.0)
--- a/rhubarbhinge/query/_hedging.py
+++ b/rhubarbhinge/query/_hedging.py
@@ -1,20 +1,20 @@
-"""Send late parts to a second replica, and plan when a query is looked at next."""
+"""Hedging of slow parts, and scheduling of the next check of a query."""
 
 from rhubarbhinge.query._completion import early_answer_ms
 from rhubarbhinge.query._query import Attempt, Query
 from rhubarbhinge.query._sending import send_extra
 from rhubarbhinge.query._shared_query_state import SharedQueryState
 
-#: After its first look a query is looked at this many times in each hedge delay.
+#: Checks of a query in each hedge delay, after its first check.
 _CHECKS_PER_DELAY = 4
 
 
 def hedge(state: SharedQueryState, query: Query, now_ms: float) -> None:
-    """Send the parts whose only attempt is late to another replica too.
+    """Send a second sub-query for each part whose only attempt exceeds the hedge delay.
 
     :param state: the entry's state.
     :param query: the query.
-    :param now_ms: the time.
+    :param now_ms: current time in ms.
     """
     if not state.policy.hedging:
         return
@@ -31,11 +31,11 @@
 
 
 def schedule(state: SharedQueryState, query: Query, now_ms: float) -> None:
-    """Plan when a query is looked at next: for its deadline, a retry or a hedge.
+    """Schedule the next check of a query: for its deadline, early answer, retries or hedges.
 
     :param state: the entry's state.
     :param query: the query.
-    :param now_ms: the time.
+    :param now_ms: current time in ms.
     """
     at_ms = min(query.deadline_ms - state.policy.answer_margin_ms, query.next_retry_ms())
     if now_ms < early_answer_ms(state, query):
--- a/rhubarbhinge/query/_key_range.py
+++ b/rhubarbhinge/query/_key_range.py
@@ -1,16 +1,16 @@
-"""One range of a plan and who can answer for it."""
+"""A key range and the searchers that hold it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """One range of one index version.
+    """A half-open key range of one index version and its replicas.
 
     :param lo: first key.
-    :param hi: key after the last.
-    :param records: records within, as announced.
-    :param upstream_ids: searchers that hold all of it.
+    :param hi: end of the range, exclusive.
+    :param records: number of records in the range, as announced.
+    :param upstream_ids: searchers that hold the whole range.
     """
 
     lo: int
--- a/rhubarbhinge/query/_latency_histogram.py
+++ b/rhubarbhinge/query/_latency_histogram.py
@@ -1,22 +1,22 @@
-"""Latency quantiles over the recent past, cheap to feed."""
+"""Quantiles of recent latencies, with a low cost per sample."""
 
 import math
 
-#: Ratio between neighbouring buckets: quantiles are exact to 5 %.
+#: Ratio between the bounds of adjacent buckets: quantiles are accurate to 5 %.
 _BUCKET_RATIO = 1.05
 _LOG_RATIO = math.log(_BUCKET_RATIO)
-#: The first bucket ends here.
+#: Upper bound of the first bucket.
 _FIRST_MS = 0.1
 #: The last bucket starts near 10 minutes.
 _BUCKETS = 320
-#: After so many samples all counts are halved, so that the past fades.
+#: Number of samples after which all counts are halved, so that old samples decay.
 _DECAY_SAMPLES = 4096
-#: Quantiles are worked out again after so many samples.
+#: Number of samples after which cached quantiles are recomputed, and minimum for a quantile.
 _REFRESH_SAMPLES = 128
 
 
 class LatencyHistogram:
-    """Fading log-spaced histogram of one stream of latencies."""
+    """Log-spaced histogram of one stream of latencies, with decaying counts."""
 
     def __init__(self) -> None:
         self._counts = [0.0] * _BUCKETS
@@ -26,9 +26,9 @@
         self._quantiles: dict[float, float] = {}
 
     def observe(self, latency_ms: float) -> None:
-        """Count one latency.
+        """Record one latency.
 
-        :param latency_ms: milliseconds.
+        :param latency_ms: the latency in ms.
         """
         index = int(math.log(latency_ms / _FIRST_MS) / _LOG_RATIO) if latency_ms > _FIRST_MS else 0
         self._counts[min(index, _BUCKETS - 1)] += 1
@@ -39,11 +39,11 @@
             self._refresh()
 
     def quantile(self, share: float, default_ms: float) -> float:
-        """Give a quantile.
+        """Return a quantile.
 
-        :param share: between 0 and 1.
-        :param default_ms: the answer before there are samples enough.
-        :returns: milliseconds, the bucket's upper end.
+        :param share: the quantile, between 0 and 1.
+        :param default_ms: the result while there are too few samples.
+        :returns: upper bound of the quantile's bucket, in ms.
         """
         if self._total < _REFRESH_SAMPLES:
             return default_ms
--- a/rhubarbhinge/query/_merging.py
+++ b/rhubarbhinge/query/_merging.py
@@ -1,4 +1,4 @@
-"""Merge the hits of a query's parts into its answer."""
+"""Merging of the hits of a query's parts into its answer."""
 
 import heapq
 
@@ -8,11 +8,11 @@
 
 
 def merged_answer(query: Query, now_ms: float) -> Answer:
-    """Give the answer of a query from the parts that were answered.
+    """Return the answer of a query, merged from the answered parts.
 
     :param query: the query.
-    :param now_ms: the time.
-    :returns: the best hits, the coverage, and the ranges that are missing in key order.
+    :param now_ms: current time in ms.
+    :returns: the best hits, the coverage, and the missing ranges sorted by first key.
     """
     limit = query.request.limit
     hits = heapq.nsmallest(limit, query.hits, key=_rank)
--- a/rhubarbhinge/query/_missing.py
+++ b/rhubarbhinge/query/_missing.py
@@ -1,18 +1,18 @@
-"""A range that an answer does not cover."""
+"""Key ranges that an answer does not cover."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """A range that an answer does not cover.
+    """A half-open key range that an answer does not cover.
 
     :param lo: first key.
-    :param hi: key after the last.
-    :param records: records within, None where nobody announces them.
+    :param hi: end of the range, exclusive.
+    :param records: number of records in the range, or None where no searcher announces it.
     :param why: ``no-replica``, ``deadline``, ``shed``, ``broken``, ``lost``, ``draining``,
-        ``version-gone``, ``range-moved``, ``queue-full`` or ``not-asked`` (the rest cannot meet
-        the class).
+        ``version-gone``, ``range-moved``, ``queue-full`` or ``not-asked`` (the other ranges cannot
+        meet the class's minimum coverage).
     """
 
     lo: int
--- a/rhubarbhinge/query/_open_queries.py
+++ b/rhubarbhinge/query/_open_queries.py
@@ -1,4 +1,4 @@
-"""The open queries of an entry, and when each of them is looked at next."""
+"""The open queries of an entry and the schedule of their checks."""
 
 import heapq
 
@@ -6,11 +6,11 @@
 
 
 class OpenQueries:
-    """Open queries by number and by request, with the times at which they are due.
+    """Open queries by sequence number and by request, with the schedule of their checks.
 
     :ivar queries: open queries by the entry's sequence number.
     :ivar call_id_by_request: sequence numbers by the caller's request.
-    :ivar due: a heap of times in ms and sequence numbers; outdated rows stay until they are due.
+    :ivar due: a heap of times in ms and sequence numbers; superseded rows stay until they are due.
     """
 
     __slots__ = ("queries", "call_id_by_request", "due")
@@ -21,7 +21,7 @@
         self.due: list[tuple[float, int]] = []
 
     def add(self, query: Query) -> None:
-        """Put a query in.
+        """Add a query.
 
         :param query: the query.
         """
@@ -29,7 +29,7 @@
         self.call_id_by_request[query.request.request_id] = query.call_id
 
     def remove(self, query: Query) -> None:
-        """Take an open query out.
+        """Remove an open query.
 
         :param query: the query.
         """
@@ -37,44 +37,44 @@
         del self.call_id_by_request[query.request.request_id]
 
     def is_open(self, query: Query) -> bool:
-        """Say whether a query has not ended.
+        """Return whether a query is open.
 
         :param query: the query.
-        :returns: True while it is open.
+        :returns: False once it has been answered or cancelled.
         """
         return query.call_id in self.queries
 
     def of_request(self, request_id: int) -> Query | None:
-        """Look a query up by its request.
+        """Return the open query of a request.
 
         :param request_id: the caller's request.
-        :returns: the query, None when there is none open.
+        :returns: the query, or None when none is open.
         """
         call_id = self.call_id_by_request.get(request_id)
         return None if call_id is None else self.queries[call_id]
 
     def schedule_check(self, query: Query, at_ms: float) -> None:
-        """Have a query looked at, unless it is looked at sooner anyway.
+        """Schedule a check of a query, unless an earlier one is scheduled.
 
         :param query: the query.
-        :param at_ms: when.
+        :param at_ms: time of the check.
         """
         if at_ms < query.next_check_ms:
             query.next_check_ms = at_ms
             heapq.heappush(self.due, (at_ms, query.call_id))
 
     def next_due_ms(self) -> float | None:
-        """Give the time at which the next query is due.
+        """Return the time of the next scheduled check.
 
-        :returns: milliseconds on the caller's clock, None when none is.
+        :returns: milliseconds on the caller's clock, or None when nothing is scheduled.
         """
         return self.due[0][0] if self.due else None
 
     def pop_due(self, now_ms: float) -> Query | None:
-        """Take the next query that is due; it is not planned any more.
+        """Remove the next check that is due from the schedule.
 
-        :param now_ms: the time.
-        :returns: the query, None when no other is due.
+        :param now_ms: current time in ms.
+        :returns: the query to check, or None when no other is due.
         """
         while self.due and self.due[0][0] <= now_ms:
             at_ms, call_id = heapq.heappop(self.due)
--- a/rhubarbhinge/query/_outbox.py
+++ b/rhubarbhinge/query/_outbox.py
@@ -1,4 +1,4 @@
-"""Collects sub-queries and cancels, so that each relay gets one message."""
+"""Batching of sub-queries and cancellations into messages to relays."""
 
 from collections import defaultdict
 
@@ -11,7 +11,7 @@
 
 
 class Outbox:
-    """Sub-queries and cancels on their way to relays."""
+    """Pending sub-queries and cancellations, batched by relay."""
 
     def __init__(self) -> None:
         self._rows: dict[tuple[RelayTarget, int], list[_Row]] = defaultdict(list)
@@ -19,7 +19,7 @@
         self._cancels: dict[str, list[tuple[int, int, int]]] = defaultdict(list)
 
     def send(self, target: RelayTarget, query: Query, part: Part, attempt: int, to: int) -> None:
-        """Put a sub-query in.
+        """Add a sub-query.
 
         :param target: the relay.
         :param query: the query.
@@ -32,21 +32,22 @@
         self._rows[target, query.call_id].append(row)
 
     def cancel(self, relay: str, call_id: int, part: int, attempt: int) -> None:
-        """Put a cancel in.
+        """Add a cancellation.
 
         :param relay: the relay's node name.
-        :param call_id: the query.
+        :param call_id: the query's sequence number.
         :param part: the part's number.
         :param attempt: the attempt's number.
         """
         self._cancels[relay].append((call_id, part, attempt))
 
     def flush(self, now_ms: float, margin_ms: float) -> list[SendBatch | SendCancel]:
-        """Take everything out.
+        """Remove and return all pending messages.
 
-        :param now_ms: the time.
-        :param margin_ms: kept back from each query's deadline.
-        :returns: one message for each relay and query, and one with cancels for each relay.
+        :param now_ms: current time in ms.
+        :param margin_ms: subtracted from each query's deadline.
+        :returns: one batch of sub-queries for each relay and query, and one batch of cancellations
+            for each relay.
         """
         effects: list[SendBatch | SendCancel] = []
         for (target, call_id), rows in self._rows.items():
--- a/rhubarbhinge/query/_plan.py
+++ b/rhubarbhinge/query/_plan.py
@@ -1,4 +1,4 @@
-"""The ranges that answer a query, all of one index version."""
+"""Query plans: disjoint key ranges of one index version."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """Keys that no searcher announces.
+    """A half-open key range that no searcher announces.
 
     :param lo: first key.
-    :param hi: key after the last.
+    :param hi: end of the range, exclusive.
     """
 
     lo: int
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Disjoint ranges of one index version.
+    """Disjoint key ranges of one index version that together answer a query.
 
     :param version: the pinned index version; 0 when none is announced.
     :param total_records: records of the whole collection at that version.
-    :param ranges: disjoint ranges, by first key.
-    :param gaps: the keys between them.
+    :param ranges: disjoint ranges, sorted by first key.
+    :param gaps: the key ranges between them.
     """
 
     version: int
@@ -33,14 +33,14 @@
     gaps: tuple[Gap, ...]
 
     def reachable_records(self) -> int:
-        """Give how many records the ranges reach.
+        """Return the number of records in the planned ranges.
 
         :returns: the sum of the ranges' records.
         """
         return sum(key_range.records for key_range in self.ranges)
 
     def reachable_share(self) -> float:
-        """Give the share of records that the ranges reach.
+        """Return the fraction of the collection's records in the planned ranges.
 
         :returns: between 0 and 1.
         """
--- a/rhubarbhinge/query/_planning.py
+++ b/rhubarbhinge/query/_planning.py
@@ -1,4 +1,4 @@
-"""Begin queries, or begin them anew on another version: plan, and send every part."""
+"""Planning of queries, also anew on another index version, and sending of their parts."""
 
 from rhubarbhinge.query._completion import finish_if_decided
 from rhubarbhinge.query._effects import Effect
@@ -9,12 +9,12 @@
 
 
 def plan_and_send(state: SharedQueryState, query: Query, now_ms: float) -> list[Effect]:
-    """Plan a query on the best version that is not gone, and send its parts.
+    """Plan a query on the best available index version and send its parts.
 
     :param state: the entry's state.
     :param query: the query.
-    :param now_ms: the time.
-    :returns: its answer when nothing can be asked, or nothing.
+    :param now_ms: current time in ms.
+    :returns: the query's answer if it can be decided at once, else an empty list.
     """
     plan = state.catalog.plan(query.request.collection, query.gone_versions)
     query.set_plan(plan)
--- a/rhubarbhinge/query/_policy.py
+++ b/rhubarbhinge/query/_policy.py
@@ -1,28 +1,30 @@
-"""How queries are carried out, apart from what the rules say of each class."""
+"""Settings of the query core that do not depend on the traffic class."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class QueryPolicy:
-    """Constants and switches of the query core; the switches exist for measuring.
+    """Constants and switches of the query core; the switches exist for measurements.
 
-    :param answer_margin_ms: kept back from the deadline for merging and answering.
-    :param early_answer_share: share of the deadline after which a class that prefers latency is
-        answered with what is covered, if that is enough for the class.
-    :param hop_margin_ms: kept back from the deadline on the way to the relay and back.
-    :param initial_hedge_delay_ms: hedge delay before there are latencies to go by.
-    :param min_hedge_delay_ms: no hedge is sent sooner.
-    :param max_budget_tokens: most extra sub-queries saved up.
-    :param floor_interval_ms: least time between two extra sub-queries of a class without a token.
-    :param min_retry_wait_ms: least time before replicas that all refused are asked again.
-    :param max_owner_wait_ms: most time between two tries of a replica whose relay refused as
-        it did not own it, or that had none.
-    :param max_attempts: attempts a part may take; those that a relay refused as it did not own
-        the replica are not counted.
+    :param answer_margin_ms: time before the deadline reserved for merging and answering.
+    :param early_answer_share: fraction of the deadline after which a class that prefers latency
+        is answered with the current coverage, if that meets the class's minimum.
+    :param hop_margin_ms: time before the deadline reserved for the round trip to the relay.
+    :param initial_hedge_delay_ms: hedge delay while there are too few latency samples.
+    :param min_hedge_delay_ms: lower bound of the hedge delay.
+    :param max_budget_tokens: maximum number of accumulated tokens for extra sub-queries.
+    :param floor_interval_ms: minimum time between two extra sub-queries of a class that are sent
+        without a token.
+    :param min_retry_wait_ms: minimum wait before replicas that all refused are asked again.
+    :param max_owner_wait_ms: maximum wait between two attempts at a replica whose relay refused
+        because it did not own the replica, or that had no relay.
+    :param max_attempts: maximum number of attempts for a part; those that a relay refused because
+        it did not own the replica are not counted.
     :param hedging: whether slow parts are sent to a second replica.
-    :param own_observation: whether replicas are chosen by what was seen; else at random.
-    :param budgeted: whether hedges and retries have a budget.
+    :param own_observation: whether replicas are chosen by the latency and load that this entry
+        has observed; at random otherwise.
+    :param budgeted: whether hedges and retries are limited by a budget.
     """
 
     answer_margin_ms: float = 4.0
--- a/rhubarbhinge/query/_query.py
+++ b/rhubarbhinge/query/_query.py
@@ -1,4 +1,4 @@
-"""State of one query that is being answered."""
+"""State of one open query: its parts and their attempts."""
 
 from rhubarbhinge.query._key_range import KeyRange
 from rhubarbhinge.query._missing import Missing
@@ -6,7 +6,7 @@
 from rhubarbhinge.query._relay_target import RelayTarget
 from rhubarbhinge.query._search_request import SearchRequest
 
-#: The time of what is not planned.
+#: Time of an event that is not scheduled.
 NEVER_MS = float("inf")
 
 
@@ -15,8 +15,9 @@
 
     :ivar upstream_id: the searcher.
     :ivar target: the relay that it was sent to.
-    :ivar sent_ms: when.
-    :ivar extra: whether a token of the budget was spent on it.
+    :ivar sent_ms: time of sending.
+    :ivar extra: whether it used a token of the budget.
+    :ivar overdue: whether its delay has been recorded in the replica scores.
     """
 
     __slots__ = ("upstream_id", "target", "sent_ms", "extra", "overdue")
@@ -30,21 +31,22 @@
 
 
 class Part:
-    """One range of a query.
+    """One key range of a query.
 
+    :ivar number: its number within the query.
     :ivar key_range: the range and its replicas.
     :ivar attempts: outstanding attempts by number.
-    :ivar tried: searchers that were sent to.
-    :ivar sent: attempts sent so far.
-    :ivar misdirected: those of them that a relay refused as it did not own the searcher.
-    :ivar done: whether it was answered or given up.
-    :ivar missing_reason: the last reason for going without an answer.
-    :ivar wait_ms: what the last refusal said of when to come back.
-    :ivar retry_at_ms: when all replicas may be asked again; 0 when that is not planned.
+    :ivar tried: searchers that were sent a sub-query.
+    :ivar sent: number of attempts sent so far.
+    :ivar misdirected: how many of them a relay refused because it did not own the searcher.
+    :ivar done: whether the part was answered or given up.
+    :ivar missing_reason: why the part has no answer, reported if it is given up.
+    :ivar wait_ms: retry delay that the last refusal asked for.
+    :ivar retry_at_ms: time from which all replicas may be asked again; 0 when no retry is planned.
     :ivar retry_is_extra_load: whether that retry counts against the budget.
     :ivar retry_has_token: whether that retry may use the budget token of the previous attempt,
         which was not run.
-    :ivar owner_waits: how often it has waited for a relay that owns a replica.
+    :ivar owner_waits: how often the part has waited for a relay that owns a replica.
     """
 
     __slots__ = (
@@ -79,21 +81,22 @@
         self.owner_waits = 0
 
     def is_waiting(self) -> bool:
-        """Say whether nothing is outstanding and a retry is planned.
+        """Return whether a retry is planned and no attempt is outstanding.
 
-        :returns: True when it waits.
+        :returns: True while the part waits for its retry.
         """
         return not self.done and not self.attempts and self.retry_at_ms > 0.0
 
 
 class Query:
-    """One query that is being answered.
+    """One open query.
 
     :ivar call_id: the entry's sequence number.
-    :ivar request: the search as admitted.
-    :ivar started_ms: when it began.
-    :ivar deadline_ms: when it has to be answered, on the same clock.
-    :ivar next_check_ms: when it is looked at next.
+    :ivar request: the admitted search.
+    :ivar started_ms: time at which it started.
+    :ivar deadline_ms: time by which it must be answered, on the same clock.
+    :ivar next_check_ms: time of its next scheduled check.
+    :ivar base: sub-queries that any answer needs; the budget is credited for these only.
     """
 
     __slots__ = (
@@ -131,7 +134,9 @@
         self.set_plan(Plan(0, 0, (), ()))
 
     def set_plan(self, plan: Plan) -> None:
-        """Start over on a plan; part numbers go on, so that late answers match nothing.
+        """Restart the query on a plan.
+
+        Part numbers are not reused, so that late replies to the previous plan match no part.
 
         :param plan: the plan, with its pinned version.
         """
@@ -143,10 +148,10 @@
         self.missing: list[Missing] = [_missing_gap(gap, plan) for gap in plan.gaps]
 
     def add_part(self, key_range: KeyRange) -> Part:
-        """Add a range.
+        """Add a part for a key range.
 
-        :param key_range: the range.
-        :returns: its part.
+        :param key_range: the range and its replicas.
+        :returns: the part.
         """
         part = Part(self.next_part, key_range)
         self.next_part += 1
@@ -163,7 +168,7 @@
         self.open_parts -= 1
 
     def mark_missing(self, part: Part) -> None:
-        """Give a part up.
+        """Give up a part and list its range as missing.
 
         :param part: the part.
         """
@@ -174,15 +179,15 @@
         )
 
     def next_retry_ms(self) -> float:
-        """Give the time of the next retry of a waiting part.
+        """Return the time of the next planned retry of a part.
 
-        :returns: :data:`NEVER_MS` when no part waits.
+        :returns: time in ms, or :data:`NEVER_MS` when no retry is planned.
         """
         waiting = [part.retry_at_ms for part in self.parts.values() if part.is_waiting()]
         return min(waiting, default=NEVER_MS)
 
     def max_coverage(self) -> float:
-        """Give the coverage if all open parts are answered.
+        """Return the coverage that is reached if all open parts are answered.
 
         :returns: between 0 and 1.
         """
@@ -192,7 +197,7 @@
         return (self.covered_records + self._open_records()) / total
 
     def coverage(self) -> float:
-        """Give the coverage so far.
+        """Return the current coverage.
 
         :returns: between 0 and 1.
         """
@@ -202,9 +207,9 @@
         return self.covered_records / total
 
     def coverage_without(self, part: Part) -> float:
-        """Give the coverage if all open parts but one are answered.
+        """Return the coverage that is reached if all open parts except one are answered.
 
-        :param part: the one.
+        :param part: the part that is not answered.
         :returns: between 0 and 1.
         """
         records = self.covered_records + self._open_records() - part.key_range.records
--- a/rhubarbhinge/query/_range_selection.py
+++ b/rhubarbhinge/query/_range_selection.py
@@ -1,4 +1,4 @@
-"""Choose disjoint ranges that reach the most records."""
+"""Selection of disjoint key ranges that contain the most records."""
 
 from collections.abc import Iterable
 
@@ -9,16 +9,16 @@
 def select_ranges(
     ranges: Iterable[KeyRange], lo: int, hi: int
 ) -> tuple[tuple[KeyRange, ...], tuple[Gap, ...]]:
-    """Choose disjoint ranges within a range of keys that reach the most records.
+    """Select disjoint ranges between two keys that contain the most records.
 
-    Announced ranges overlap while shards are split or merged. A walk over the ranges' bounds from
-    the right finds for each bound the best choice of ranges to its right, so that no record counts
-    twice. Among equals the choice with more replicas wins.
+    Announced ranges overlap while shards are split or merged. Dynamic programming over the ranges'
+    bounds, from right to left, finds the best selection to the right of each bound, so that no
+    record counts twice. Ties are resolved in favour of the selection with more replicas.
 
-    :param ranges: announced ranges.
+    :param ranges: announced ranges, which may overlap.
     :param lo: first key wanted.
-    :param hi: key after the last wanted.
-    :returns: the chosen ranges by first key, and the gaps between them.
+    :param hi: end of the wanted range, exclusive.
+    :returns: the selected ranges, sorted by first key, and the gaps between them.
     """
     inside = [key_range for key_range in ranges if lo <= key_range.lo < key_range.hi <= hi]
     starts: dict[int, list[KeyRange]] = {}
--- a/rhubarbhinge/query/_relay_target.py
+++ b/rhubarbhinge/query/_relay_target.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayTarget:
-    """A relay that can be sent to.
+    """A reachable relay.
 
     :param name: its node name.
     :param incarnation: its incarnation; later ones are larger.
--- a/rhubarbhinge/query/_replica_scores.py
+++ b/rhubarbhinge/query/_replica_scores.py
@@ -1,18 +1,18 @@
-"""Which replica answers soonest, by what this entry has seen itself."""
+"""Estimated response times of replicas, from this entry's own observations."""
 
 from rhubarbhinge.wire import UpstreamState
 
-#: Weight of a new latency in the moving average.
+#: Weight of a new latency in the exponential moving average.
 _AVERAGE_WEIGHT = 0.2
-#: A score older than this is doubted: one sub-query may find out anew.
+#: A score older than this is ignored, so that one sub-query may measure the searcher again.
 STALE_AFTER_MS = 5_000.0
-#: What an unknown searcher is taken for.
+#: Initial value of the mean latency, which is assumed for searchers without samples.
 _INITIAL_LATENCY_MS = 5.0
-#: How much slower a searcher is taken for while it warms up.
+#: Assumed slowdown of a searcher while it warms up.
 _WARMING_FACTOR = 3.0
-#: A reported queue lags, so that it counts for less than what was sent from here.
+#: Weight of the reported load against this entry's own outstanding sub-queries, as reports lag.
 _REPORTED_LOAD_WEIGHT = 0.5
-#: A failed or refused sub-query counts as this many times the average latency.
+#: A failed or refused sub-query counts as this multiple of the mean latency.
 _FAILURE_FACTOR = 4.0
 
 
@@ -28,7 +28,7 @@
 
 
 class ReplicaScores:
-    """What this entry has seen of each searcher: latency, refusals, its own outstanding work."""
+    """Latency, failures and outstanding sub-queries that this entry observes of each searcher."""
 
     def __init__(self) -> None:
         self._stats: dict[int, _ReplicaStats] = {}
@@ -50,11 +50,11 @@
         stats.outstanding = max(0, stats.outstanding - 1)
 
     def on_latency(self, upstream_id: int, latency_ms: float, now_ms: float) -> None:
-        """Learn from an answer.
+        """Record the latency of an answer.
 
         :param upstream_id: the searcher.
-        :param latency_ms: from sending to the answer, as seen here.
-        :param now_ms: the time.
+        :param latency_ms: time from sending to the answer, measured by this entry.
+        :param now_ms: current time in ms.
         """
         stats = self._stats_of(upstream_id)
         if now_ms - stats.at_ms > STALE_AFTER_MS:
@@ -65,47 +65,47 @@
         self._mean_ms += 0.01 * (latency_ms - self._mean_ms)
 
     def on_overdue(self, upstream_id: int, waited_ms: float, now_ms: float) -> None:
-        """Learn from an answer that has not come, or that was given up for another's.
+        """Record a sub-query that is late, or that was cancelled without an answer.
 
-        The answer would have taken longer than the wait, so that the average is at least the wait:
-        a searcher whose sub-queries are always hedged and cancelled never answers, and would else
-        be taken for a fast one.
+        Its latency is at least the time waited, so the average is raised to that. Otherwise a
+        searcher whose sub-queries are always hedged and cancelled never records a latency, and is
+        considered fast.
 
         :param upstream_id: the searcher.
-        :param waited_ms: how long it has taken so far: a lower bound.
-        :param now_ms: the time.
+        :param waited_ms: time since sending, a lower bound of the latency.
+        :param now_ms: current time in ms.
         """
         stats = self._stats_of(upstream_id)
         stats.at_ms = now_ms
         stats.average_ms = max(stats.average_ms, waited_ms)
 
     def on_failure(self, upstream_id: int, now_ms: float) -> None:
-        """Learn from a refusal or a broken connection.
+        """Record a refusal or failure.
 
         :param upstream_id: the searcher.
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         """
         self.on_overdue(upstream_id, _FAILURE_FACTOR * self._mean_ms, now_ms)
 
     def on_report(self, upstream_id: int, queued: int, in_flight: int, slots: int) -> None:
-        """Take the relay's report of the searcher's load.
+        """Record a relay's report of a searcher's load.
 
         :param upstream_id: the searcher.
-        :param queued: sub-queries waiting at the relay.
-        :param in_flight: sub-queries sent.
-        :param slots: how many the relay sends at once.
+        :param queued: sub-queries queued at the relay.
+        :param in_flight: sub-queries sent and not answered.
+        :param slots: sub-queries that the relay sends concurrently.
         """
         stats = self._stats_of(upstream_id)
         stats.reported = queued + in_flight
         stats.slots = max(1, slots)
 
     def score(self, upstream_id: int, state: UpstreamState, now_ms: float) -> float:
-        """Estimate how long a sub-query would take.
+        """Estimate the response time of a sub-query.
 
         :param upstream_id: the searcher.
-        :param state: as its relay sees it.
-        :param now_ms: the time.
-        :returns: milliseconds, an estimate good for comparing.
+        :param state: its state, as reported by its relay.
+        :param now_ms: current time in ms.
+        :returns: milliseconds; only meant to compare searchers.
         """
         stats = self._stats.get(upstream_id)
         if stats is None:
--- a/rhubarbhinge/query/_retry_waits.py
+++ b/rhubarbhinge/query/_retry_waits.py
@@ -1,4 +1,4 @@
-"""Let a part without an outstanding attempt wait, where a replica may take it a little later."""
+"""Delayed retries of parts that no replica accepts at the moment."""
 
 from rhubarbhinge.query._query import Part, Query
 from rhubarbhinge.query._sending import has_attempts_left
@@ -6,13 +6,13 @@
 
 
 def wait_after_refusal(state: SharedQueryState, query: Query, part: Part, now_ms: float) -> bool:
-    """Wait for as long as the last refusal said; the retry counts as load.
+    """Schedule a retry after the delay that the last refusal asked for; it is extra load.
 
     :param state: the entry's state.
     :param query: the query.
     :param part: the part.
-    :param now_ms: the time.
-    :returns: False when it is not worth waiting.
+    :param now_ms: current time in ms.
+    :returns: False when no attempt is left, or the retry would be too close to the deadline.
     """
     wait_ms = max(state.policy.min_retry_wait_ms, part.wait_ms)
     part.retry_is_extra_load = True
@@ -20,16 +20,16 @@
 
 
 def wait_for_owner(state: SharedQueryState, query: Query, part: Part, now_ms: float) -> bool:
-    """Wait until entries and relays agree again on who owns the part's replicas.
+    """Schedule a retry for when entries and relays agree again on the owner of a replica.
 
-    Nothing has run, or what ran was cancelled with its relay's link, so that the retry is no load.
-    The waits grow, as the time until they agree is that of a link that is opened anew.
+    The retry is no extra load, as the part has not run, or was cancelled with its relay's link.
+    The delay grows exponentially, as agreement takes as long as opening a new link.
 
     :param state: the entry's state.
     :param query: the query.
     :param part: the part.
-    :param now_ms: the time.
-    :returns: False when it is not worth waiting.
+    :param now_ms: current time in ms.
+    :returns: False when no attempt is left, or the retry would be too close to the deadline.
     """
     policy = state.policy
     wait_ms = min(policy.max_owner_wait_ms, policy.min_retry_wait_ms * 2**part.owner_waits)
@@ -39,13 +39,13 @@
 
 
 def wait_for_link(state: SharedQueryState, query: Query, part: Part, now_ms: float) -> bool:
-    """Wait for the link to a relay of a replica that takes work.
+    """Schedule a retry for when a usable replica of a part has a relay again.
 
     :param state: the entry's state.
     :param query: the query.
     :param part: the part.
-    :param now_ms: the time.
-    :returns: False when no relay is expected.
+    :param now_ms: current time in ms.
+    :returns: False when no relay is expected soon, or no retry can be scheduled.
     """
     usable = filter(state.catalog.usable, part.key_range.upstream_ids)
     is_expected = any(map(state.is_expected, usable))
--- a/rhubarbhinge/query/_retrying.py
+++ b/rhubarbhinge/query/_retrying.py
@@ -1,4 +1,4 @@
-"""Ask again for parts whose last attempt ended without an answer, or give them up."""
+"""Retries of parts whose last attempt ended without an answer."""
 
 from rhubarbhinge.query._completion import cancel_all, finish_if_decided
 from rhubarbhinge.query._effects import Effect
@@ -14,15 +14,15 @@
 def resend(
     state: SharedQueryState, query: Query, part: Part, outcome: int, refundable: bool, now_ms: float
 ) -> list[Effect]:
-    """Ask for a part again, where that is of use; else give it up.
+    """Resend a part, replan, or schedule a retry; give the part up if none of these applies.
 
     :param state: the entry's state.
     :param query: the query.
-    :param part: the part, with nothing outstanding.
-    :param outcome: how its last attempt ended.
-    :param refundable: whether that attempt took a token of the budget and was not run.
-    :param now_ms: the time.
-    :returns: the query's answer when this ends it, or nothing.
+    :param part: the part, without an outstanding attempt.
+    :param outcome: outcome of its last attempt.
+    :param refundable: whether that attempt used a token of the budget and was not run.
+    :param now_ms: current time in ms.
+    :returns: the query's answer when this ends it, else an empty list.
     """
     send_again = _redirect if outcome in NOT_EXTRA_LOAD else _retry
     if send_again(state, query, part, refundable, now_ms):
@@ -43,12 +43,12 @@
 
 
 def resend_waiting(state: SharedQueryState, query: Query, now_ms: float) -> list[Effect]:
-    """Ask again for the parts that have waited long enough; any replica may be asked.
+    """Resend the parts whose planned retry is due; replicas that were tried may be asked again.
 
     :param state: the entry's state.
     :param query: the query.
-    :param now_ms: the time.
-    :returns: the query's answer when parts that were given up end it, or nothing.
+    :param now_ms: current time in ms.
+    :returns: the query's answer when giving up parts ends it, else an empty list.
     """
     lost = len(query.missing)
     for part in query.parts.values():
@@ -60,14 +60,14 @@
 def resend_lost(
     state: SharedQueryState, query: Query, part: Part, relay: str, now_ms: float
 ) -> list[Effect]:
-    """Ask elsewhere for what a lost relay was sent of a part.
+    """Resend a part whose outstanding attempts were at a relay that is lost.
 
     :param state: the entry's state.
-    :param query: the query; one that has ended is not asked for again.
+    :param query: the query; its parts are not resent once it has ended.
     :param part: the part.
     :param relay: the relay's node name.
-    :param now_ms: the time.
-    :returns: the query's answer when this ends it, or nothing.
+    :param now_ms: current time in ms.
+    :returns: the query's answer when this ends it, else an empty list.
     """
     lost = [number for number, attempt in part.attempts.items() if attempt.target.name == relay]
     for number in lost:
--- a/rhubarbhinge/query/_search_request.py
+++ b/rhubarbhinge/query/_search_request.py
@@ -1,4 +1,4 @@
-"""A search as admitted."""
+"""An admitted search."""
 
 from dataclasses import dataclass
 
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchRequest:
-    """A search as admitted.
+    """An admitted search.
 
-    :param request_id: the caller's request, chosen by the daemon.
+    :param request_id: the daemon's number of the caller's request.
     :param collection: the collection.
     :param text: the search text.
-    :param limit: most hits wanted.
-    :param traffic_class: the class whose policy holds.
-    :param deadline_ms: time allowed, from now.
-    :param register_revision: the register that holds.
+    :param limit: maximum number of hits.
+    :param traffic_class: the traffic class whose policy applies.
+    :param deadline_ms: time allowed from the start of the query, in ms.
+    :param register_revision: revision of the register in force.
     """
 
     request_id: int
--- a/rhubarbhinge/query/_sending.py
+++ b/rhubarbhinge/query/_sending.py
@@ -1,22 +1,22 @@
-"""Choose a replica for a part and send it a sub-query."""
+"""Replica selection and sending of sub-queries."""
 
 from rhubarbhinge.query._query import Attempt, Part, Query
 from rhubarbhinge.query._relay_target import RelayTarget
 from rhubarbhinge.query._shared_query_state import SharedQueryState
 
-#: Numbers that an attempt can have in a message.
+#: Number of distinct attempt numbers that a message can hold.
 ATTEMPT_NUMBERS = 256
 
 
 def send(state: SharedQueryState, query: Query, part: Part, now_ms: float, extra: bool) -> bool:
-    """Send a part to the best replica that it was not sent to.
+    """Send a part to the best replica that has not been tried.
 
     :param state: the entry's state.
     :param query: the query.
     :param part: the part.
-    :param now_ms: the time.
-    :param extra: whether a token of the budget was spent on it.
-    :returns: False when no replica is left to send to, or the attempts are used up.
+    :param now_ms: current time in ms.
+    :param extra: whether the attempt uses a token of the budget.
+    :returns: False when no untried replica is available, or all attempts are used.
     """
     chosen = _choose(state, part, now_ms)
     if chosen is None:
@@ -32,12 +32,12 @@
 
 
 def send_extra(state: SharedQueryState, query: Query, part: Part, now_ms: float) -> bool:
-    """Send a part once more, if the budget lets it.
+    """Send an extra sub-query for a part, if the budget allows it.
 
     :param state: the entry's state.
     :param query: the query.
     :param part: the part.
-    :param now_ms: the time.
+    :param now_ms: current time in ms.
     :returns: whether it was sent.
     """
     budgeted = state.policy.budgeted
@@ -50,11 +50,11 @@
 
 
 def has_attempts_left(state: SharedQueryState, part: Part) -> bool:
-    """Say whether a part may be sent once more.
+    """Return whether a part may be sent once more.
 
     :param state: the entry's state.
     :param part: the part.
-    :returns: False when its attempts are used up.
+    :returns: False when all its attempts are used.
     """
     counted = part.sent - part.misdirected
     return counted < state.policy.max_attempts and part.sent < ATTEMPT_NUMBERS
--- a/rhubarbhinge/query/_shared_query_state.py
+++ b/rhubarbhinge/query/_shared_query_state.py
@@ -1,4 +1,4 @@
-"""State that the steps of all queries of one entry share."""
+"""State shared by all queries of one entry."""
 
 import random
 from collections.abc import Callable
@@ -18,18 +18,19 @@
 
 
 class SharedQueryState:
-    """What beginning, sending, hedging and ending a query work on.
+    """State shared by all queries of one entry.
 
     :param policy: constants and switches.
-    :param catalog: what the searchers announce.
-    :param relay_of: gives the relay that owns a searcher, None when there is none to send to.
+    :param catalog: the searchers' announcements.
+    :param relay_of: returns the relay that owns a searcher, or None when no relay is reachable.
     :param rng: source of random choices.
-    :param is_expected: tells whether a searcher without a relay will have one again soon.
-    :ivar scores: what was seen of each searcher.
-    :ivar outbox: messages to relays.
+    :param is_expected: returns whether a searcher without a relay is expected to have one again
+        soon.
+    :ivar scores: latency and load observed for each searcher.
+    :ivar outbox: pending messages to relays.
     :ivar open: the open queries.
-    :ivar budgets: by traffic class.
-    :ivar latencies: by collection.
+    :ivar budgets: extra load budgets by name of the traffic class.
+    :ivar latencies: latency histograms by name of the collection.
     """
 
     __slots__ = (
@@ -65,10 +66,10 @@
         self.latencies: dict[str, LatencyHistogram] = {}
 
     def budget(self, query: Query) -> ExtraLoadBudget:
-        """Give the budget of a query's traffic class.
+        """Return the budget of a query's traffic class.
 
         :param query: the query.
-        :returns: the budget, new when the class had none.
+        :returns: the budget, created on first use.
         """
         name = query.request.traffic_class.name
         budget = self.budgets.get(name)
@@ -79,10 +80,10 @@
         return budget
 
     def latency_histogram(self, query: Query) -> LatencyHistogram:
-        """Give the latencies of a query's collection.
+        """Return the latency histogram of a query's collection.
 
         :param query: the query.
-        :returns: the latencies, none yet when the collection is new.
+        :returns: the histogram, created on first use.
         """
         name = query.request.collection
         window = self.latencies.get(name)
--- a/rhubarbhinge/query/_sub_answer.py
+++ b/rhubarbhinge/query/_sub_answer.py
@@ -1,25 +1,24 @@
-"""Check a searcher's answer against what was asked."""
+"""Parsing of searchers' answers and validation against the sub-query."""
 
 import orjson
 
 from rhubarbhinge.query._query import Part, Query
 from rhubarbhinge.utils.nesting import is_nested_below
 
-#: Lists and objects may be nested this deep in a hit; orjson reads 1,024 levels and writes 254.
+#: Maximum nesting of lists and objects in a hit; orjson reads 1,024 levels, but writes only 254.
 _MAX_HIT_DEPTH = 16
 
 
 def parse_hits(body: bytes, query: Query, part: Part) -> list[dict] | None:
-    """Read a searcher's answer.
+    """Parse and validate a searcher's answer.
 
-    An answer for another collection, version or range, or with another count of records than was
-    announced for this range and version, is not merged: it would mix snapshots or misstate
-    coverage.
+    An answer for another collection, version or range, or with another number of records than was
+    announced for this range and version, is rejected: it would mix snapshots or misstate coverage.
 
     :param body: the answer, JSON.
     :param query: the query.
-    :param part: the part that was asked for.
-    :returns: the hits, or None when the answer is not the one asked for.
+    :param part: the part that the sub-query was sent for.
+    :returns: the hits, or None when the answer is malformed or does not match the sub-query.
     """
     try:
         answer = orjson.loads(body)
--- a/rhubarbhinge/query/_sub_outcomes.py
+++ b/rhubarbhinge/query/_sub_outcomes.py
@@ -1,8 +1,8 @@
-"""How sub-queries end without an answer, and what follows from each ending."""
+"""Classification of the outcomes of sub-queries without an answer."""
 
 from rhubarbhinge.wire import SubCode
 
-#: Reasons in answers, by how the last attempt ended.
+#: Reasons reported for missing ranges, by the outcome of the last attempt.
 MISSING_REASONS = {
     SubCode.SHED: "shed",
     SubCode.DRAINING: "draining",
@@ -15,8 +15,8 @@
     SubCode.CANCELLED: "deadline",
     SubCode.LOST: "lost",
 }
-#: Endings after which sending elsewhere is no extra load: nothing was run, or what ran is gone with
-#: its searcher, whose work the other replicas take over anyway.
+#: Outcomes after which a resend is no extra load: the sub-query was not run, or its searcher is
+#: lost, whose load the other replicas take over in any case.
 NOT_EXTRA_LOAD = frozenset(
     {
         SubCode.DRAINING,
@@ -26,9 +26,9 @@
         SubCode.LOST,
     }
 )
-#: Endings that speak against the searcher.
+#: Outcomes that count against the searcher in the replica scores.
 FAILURES = frozenset(
     {SubCode.SHED, SubCode.BROKEN, SubCode.QUEUE_FULL, SubCode.DEADLINE, SubCode.LOST}
 )
-#: Endings after which the same replicas may answer a little later.
+#: Outcomes after which the same replicas may answer a later retry.
 RETRYABLE = FAILURES
--- a/rhubarbhinge/query/_sub_replies.py
+++ b/rhubarbhinge/query/_sub_replies.py
@@ -1,4 +1,4 @@
-"""Take how one sub-query ended: its hits, or the reason that there are none."""
+"""Handling of the outcome of one sub-query: its hits, or why there are none."""
 
 from rhubarbhinge.query._completion import cancel_outstanding, finish_if_decided
 from rhubarbhinge.query._effects import Effect
@@ -19,16 +19,16 @@
     body: bytes,
     now_ms: float,
 ) -> list[Effect]:
-    """Take the end of an attempt at a part that is open.
+    """Handle the outcome of an attempt at an open part.
 
     :param state: the entry's state.
     :param query: the query.
     :param part: the part.
     :param attempt: the attempt, no longer outstanding.
-    :param outcome: how it ended.
+    :param outcome: its outcome, a value of :class:`SubCode`.
     :param body: the searcher's answer, if any.
-    :param now_ms: the time.
-    :returns: the query's answer when this ends it, or nothing.
+    :param now_ms: current time in ms.
+    :returns: the query's answer when this ends it, else an empty list.
     """
     if outcome == SubCode.ANSWERED:
         hits = parse_hits(body, query, part)
--- a/rhubarbhinge/query/tests/builders.py
+++ b/rhubarbhinge/query/tests/builders.py
@@ -1,4 +1,4 @@
-"""Shared builders: classes, requests, announcements and searchers' answers."""
+"""Builders of traffic classes, requests, announcements and replies for tests."""
 
 import orjson
 
@@ -26,14 +26,14 @@
 
 
 def holding(upstream_id, spans, incarnation=1):
-    """Announce (version, lo, hi) spans."""
+    """Return a searcher's announcement of (version, lo, hi) ranges."""
     rows = [(COLLECTION, v, count(v, 0, KEYS), lo, hi, count(v, lo, hi)) for v, lo, hi in spans]
     columns = tuple(zip(*rows, strict=True)) or ((),) * 6
     return HoldingReport(upstream_id, incarnation, *columns)
 
 
 def found(version, lo, hi, text=TEXT, limit=10, **changed):
-    """Make a searcher's answer."""
+    """Return the body of a searcher's answer."""
     body = {
         "collection": COLLECTION,
         "version": version,
@@ -46,21 +46,21 @@
 
 
 def reply(*rows):
-    """Make a batch of (call, part, attempt, outcome, retry_after_ms, body) rows."""
+    """Return a batch of (call_id, part, attempt, outcome, retry_after_ms, body) rows."""
     call_ids, parts, attempts, outcomes, waits_ms, bodies = zip(*rows, strict=True)
     zeros = (0,) * len(rows)
     return ReplyBatch(1, call_ids, parts, attempts, outcomes, waits_ms, zeros, zeros, bodies)
 
 
 def rows_of(batch: SubBatch):
-    """Give a batch's (part, attempt, upstream_id, lo, hi) rows."""
+    """Return the (part, attempt, upstream_id, lo, hi) rows of a batch."""
     return list(
         zip(batch.parts, batch.attempts, batch.upstream_ids, batch.los, batch.his, strict=True)
     )
 
 
 def best_hits(version, spans, text=TEXT, limit=10):
-    """Compute the best hits of ranges anew."""
+    """Return the best hits of ranges, computed independently of the query core."""
     hits = [
         hit for lo, hi in spans for hit in records.hits(COLLECTION, version, lo, hi, text, limit)
     ]
--- a/rhubarbhinge/query/tests/core_harness.py
+++ b/rhubarbhinge/query/tests/core_harness.py
@@ -1,4 +1,4 @@
-"""A query core with searchers and relays that a test decides on."""
+"""Test harness of the query core with given searchers and relays."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 class CoreHarness:
-    """A core whose searcher n is owned by relay "r<n>" unless told otherwise."""
+    """A query core whose searcher n is owned by relay "r<n>" by default."""
 
     def __init__(self, held, traffic=None, **policy):
         self.catalog = Catalog()
@@ -28,7 +28,7 @@
         return self.core.start(search, now_ms)
 
     def sends(self, effects):
-        """Give (part, attempt, searcher, lo, hi) rows."""
+        """Return the (part, attempt, searcher, lo, hi) rows of sub-queries to send."""
         batches = [effect.batch for effect in effects if isinstance(effect, SendBatch)]
         return [row for batch in batches for row in builders.rows_of(batch)]
 
--- a/rhubarbhinge/query/tests/schedule.py
+++ b/rhubarbhinge/query/tests/schedule.py
@@ -1,4 +1,4 @@
-"""A small world for the query core: searchers, relays and a network that misbehaves."""
+"""Simulation of searchers, relays and an unreliable network around the query core."""
 
 import heapq
 import itertools
@@ -43,7 +43,7 @@
 
 
 class Searcher:
-    """One searcher; spans are (version, lo, hi)."""
+    """A simulated searcher that holds (version, lo, hi) ranges."""
 
     def __init__(self, number: int, spans: set[tuple[int, int, int]]) -> None:
         self.number = number
@@ -65,7 +65,7 @@
 
 
 class Schedule:
-    """Runs a query core against searchers; time passes only here."""
+    """Runs a query core against simulated searchers on a virtual clock."""
 
     def __init__(self, seed: int, fault_rate: float, policy: QueryPolicy = POLICY) -> None:
         self.rng = random.Random(seed)
@@ -177,7 +177,7 @@
         self.run(first * 2 + second)
 
     def pause(self, first: int, second: int) -> None:
-        """Wake up late, to a tick or to the messages first."""
+        """Simulate a paused process, which resumes with a tick or with the pending messages."""
         self.now_ms += first * 20
         if second % 2:
             self._tick()
@@ -263,7 +263,7 @@
             self._schedule_message(lambda: self._reply(relay, late, SubCode.ANSWERED, wrong))
 
     def _corrupt_answer(self, version: int, lo: int, hi: int, text: str) -> bytes:
-        """Make an answer that is wrong in one thing only."""
+        """Return an answer with exactly one error."""
         records = builders.count(version, lo, hi)
         return self.rng.choice(
             (
--- a/rhubarbhinge/query/tests/test_catalog.py
+++ b/rhubarbhinge/query/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Tiling against brute force; plans from announcements that overlap, fall behind or lie."""
+"""Tests of range selection by brute force, and of plans from inconsistent announcements."""
 
 import itertools
 import unittest
@@ -27,7 +27,7 @@
 
 
 def most_records(ranges, lo, hi):
-    """Try every choice of ranges."""
+    """Compute the result by brute force."""
     inside = [key_range for key_range in ranges if lo <= key_range.lo < key_range.hi <= hi]
     choices = itertools.chain.from_iterable(
         itertools.combinations(inside, size) for size in range(len(inside) + 1)
@@ -48,10 +48,10 @@
     return [(key_range.lo, key_range.hi) for key_range in plan.ranges]
 
 
-class TilingTest(unittest.TestCase):
+class RangeSelectionTest(unittest.TestCase):
     @SETTINGS
     @given(st.lists(TILE, max_size=7), st.integers(0, 4), st.integers(8, 12))
-    def test_the_best_choice_is_found_and_nothing_counts_twice(self, ranges, lo, hi):
+    def test_selection_is_optimal_and_disjoint(self, ranges, lo, hi):
         chosen, gaps = select_ranges(ranges, lo, hi)
         self.assertEqual(
             most_records(ranges, lo, hi), sum(key_range.records for key_range in chosen)
@@ -69,11 +69,11 @@
         self.assertEqual([], list(plan.gaps))
         self.assertEqual([(1, 2), (1, 3)], [key_range.upstream_ids for key_range in plan.ranges])
 
-    def test_a_wider_holder_serves_a_gap_that_parts_leave(self):
+    def test_searcher_of_a_wider_range_covers_a_gap_of_narrower_ones(self):
         held = {1: [(1, 0, KEYS)], 2: [(1, 0, KEYS // 2)]}
         self.assertEqual([(0, KEYS)], spans_of(catalog(held).plan(builders.COLLECTION)))
 
-    def test_the_version_that_reaches_most_wins_and_the_newest_among_equals(self):
+    def test_version_with_the_best_coverage_is_selected_and_the_newest_of_equals(self):
         whole, half = (0, KEYS), (0, KEYS // 2)
         for held, version in (
             ({1: [(1, *whole)], 2: [(2, *half)]}, 1),
@@ -85,7 +85,7 @@
                 other = made.plan(builders.COLLECTION, frozenset({version}))
                 self.assertEqual(3 - version, other.version)
 
-    def test_searchers_that_drain_or_are_forgotten_leave_the_plan(self):
+    def test_draining_down_and_removed_searchers_leave_the_plan(self):
         made = catalog({1: [(1, 0, KEYS)], 2: [(1, 0, KEYS)]})
         for leave, left in (
             (lambda: made.on_state(1, UpstreamState.DRAINING), [(2,)]),
@@ -97,8 +97,8 @@
             ranges = made.plan(builders.COLLECTION).ranges
             self.assertEqual(left, [key_range.upstream_ids for key_range in ranges])
 
-    def test_a_drain_outlasts_a_relay_that_has_not_heard_from_the_searcher(self):
-        """Guards against new work at a leaving searcher whose relay has changed."""
+    def test_drain_persists_at_a_relay_without_contact_to_the_searcher(self):
+        """Guards against new work for a draining searcher whose relay has changed."""
         catalog = Catalog()
         catalog.on_holdings(builders.holding(1, [(1, 0, KEYS)]))
         for state in (UpstreamState.DRAINING, UpstreamState.UNKNOWN, UpstreamState.DOWN):
@@ -110,7 +110,7 @@
         self.assertTrue(catalog.usable(1))
         self.assertEqual(1, len(catalog.plan(builders.COLLECTION).ranges))
 
-    def test_a_newer_life_ends_a_drain(self):
+    def test_newer_incarnation_ends_a_drain(self):
         catalog = Catalog()
         catalog.on_holdings(builders.holding(1, [(1, 0, KEYS)]))
         catalog.on_state(1, UpstreamState.DRAINING)
@@ -118,13 +118,13 @@
         catalog.on_state(1, UpstreamState.UNKNOWN)
         self.assertTrue(catalog.usable(1))
 
-    def test_an_announcement_of_an_older_life_is_ignored(self):
+    def test_announcement_of_an_older_incarnation_is_ignored(self):
         made = Catalog()
         made.on_holdings(builders.holding(1, [(1, 0, KEYS)], incarnation=2))
         made.on_holdings(builders.holding(1, [], incarnation=1))
         self.assertEqual([(0, KEYS)], spans_of(made.plan(builders.COLLECTION)))
 
-    def test_false_announcements_never_overstate(self):
+    def test_false_announcements_never_overstate_coverage(self):
         for rows in (
             [(0, KEYS, 100, 100), (5, 5, 3, 100), (9, 4, 3, 100), (0, 2 * KEYS, 9, 100)],
             [(0, KEYS, 100, 7)],
--- a/rhubarbhinge/query/tests/test_core.py
+++ b/rhubarbhinge/query/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Focused tests of the query core, one decision each."""
+"""Unit tests of the query core's single decisions."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 
 
 class HedgeTest(unittest.TestCase):
-    def test_a_hedge_waits_for_its_delay_and_goes_to_another_replica(self):
+    def test_hedge_is_sent_to_another_replica_after_the_delay(self):
         harness = CoreHarness({1: [LOW, HIGH], 2: [LOW, HIGH]})
         first = harness.sends(harness.start())
         self.assertEqual([], harness.sends(harness.core.tick(29.0)))
@@ -33,13 +33,13 @@
         for row, hedge in zip(first, hedges, strict=True):
             self.assertEqual({1, 2}, {row[2], hedge[2]})
 
-    def test_a_wake_up_for_another_part_hedges_nothing_early(self):
+    def test_check_for_another_part_sends_no_early_hedge(self):
         harness = CoreHarness({1: [LOW], 2: [LOW], 3: [HIGH]})
         rows = {row[3]: row for row in harness.sends(harness.start())}
         harness.answer(rows[HALF], 5.0, SubCode.SHED, 15)
         self.assertEqual([HALF], [row[3] for row in harness.sends(harness.core.tick(20.0))])
 
-    def test_hedges_stop_where_the_budget_ends(self):
+    def test_hedges_are_limited_by_the_budget(self):
         harness = CoreHarness(
             {1: [LOW, HIGH], 2: [LOW, HIGH]}, builders.traffic_class(extra_load=0.5)
         )
@@ -47,7 +47,7 @@
         self.assertEqual(1, len(harness.sends(harness.core.tick(30.0))))
         self.assertEqual([], harness.sends(harness.core.tick(100.0)))
 
-    def test_one_extra_sub_query_passes_now_and_then_without_a_token(self):
+    def test_one_extra_sub_query_per_interval_needs_no_token(self):
         traffic = builders.traffic_class(extra_load=0.0)
         harness = CoreHarness({1: [LOW, HIGH], 2: [LOW, HIGH]}, traffic)
         passed = []
@@ -58,7 +58,7 @@
             harness.core.abandon(number, now_ms + 40.0)
         self.assertEqual([2100.0, 4100.0], passed)
 
-    def test_the_loser_is_cancelled_and_its_answer_ignored(self):
+    def test_slower_attempt_is_cancelled_and_its_answer_ignored(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
         first = harness.sends(harness.start())[0]
         hedge = harness.sends(harness.core.tick(30.0))[0]
@@ -68,7 +68,7 @@
         self.assertEqual((1, 1, 1.0), (answer.stats.base, answer.stats.hedges, answer.coverage))
         self.assertEqual([], harness.answer(first, 36.0))
 
-    def test_a_straggler_whose_answers_are_always_cancelled_is_avoided(self):
+    def test_straggler_that_is_always_cancelled_is_avoided(self):
         harness = CoreHarness({n: [(1, 0, builders.KEYS)] for n in (1, 2)})
         now_ms, asked = 0.0, []
         for number in range(1, 21):
@@ -85,7 +85,7 @@
             now_ms += 50.0
         self.assertLessEqual(asked.count(1), 1)
 
-    def test_a_primary_that_fails_leaves_its_hedge_running(self):
+    def test_failed_primary_leaves_its_hedge_running(self):
         harness = CoreHarness({n: [(1, 0, builders.KEYS)] for n in (1, 2, 3)})
         first = harness.sends(harness.start())[0]
         hedge = harness.sends(harness.core.tick(30.0))[0]
@@ -94,7 +94,7 @@
 
 
 class RedirectTest(unittest.TestCase):
-    def test_a_refusal_without_load_is_sent_elsewhere_without_spending(self):
+    def test_refusal_without_load_is_resent_without_a_token(self):
         for outcome in NOT_EXTRA_LOAD:
             with self.subTest(outcome):
                 harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
@@ -106,7 +106,7 @@
                 (answer,) = all_answers(harness.answer(second, 12.0))
                 self.assertEqual((1, 0), (answer.stats.redirects, answer.stats.retries))
 
-    def test_a_refusal_that_is_load_spends(self):
+    def test_refusal_with_load_spends_a_token(self):
         for outcome in (SubCode.SHED, SubCode.BROKEN, SubCode.QUEUE_FULL, SubCode.DEADLINE):
             with self.subTest(outcome):
                 harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
@@ -114,7 +114,7 @@
                 self.assertEqual(1, len(harness.sends(harness.answer(first, outcome=outcome))))
                 self.assertEqual(0.0, harness.tokens())
 
-    def test_a_redirected_retry_keeps_its_token(self):
+    def test_redirected_retry_keeps_its_token(self):
         harness = CoreHarness({n: [(1, 0, builders.KEYS)] for n in (1, 2, 3, 4)})
         first = harness.sends(harness.start())[0]
         retry = harness.sends(harness.answer(first, outcome=SubCode.BROKEN))[0]
@@ -122,7 +122,7 @@
         self.assertEqual(0.0, harness.tokens())
         self.assertEqual([], harness.sends(harness.answer(third, 12.0, SubCode.BROKEN)))
 
-    def test_a_new_owner_is_asked_after_the_old_one_refused(self):
+    def test_new_owner_is_asked_after_the_old_one_refused(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
         first = harness.sends(harness.start())[0]
         refused = builders.reply((1, first[0], first[1], SubCode.WRONG_RECEIVER, 0, b""))
@@ -130,14 +130,14 @@
         effects = harness.core.on_reply("r1", refused, 5.0)
         self.assertEqual(["r9"], [e.relay for e in effects if isinstance(e, SendBatch)])
 
-    def test_what_a_lost_relay_was_asked_is_asked_again(self):
+    def test_sub_queries_of_a_lost_relay_are_resent(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
         first = harness.sends(harness.start())[0]
         again = harness.sends(harness.core.on_relay_gone(f"r{first[2]}", 5.0))
         self.assertEqual(1, len(again))
         self.assertNotEqual(first[2], again[0][2])
 
-    def test_a_draining_searcher_is_not_sent_to(self):
+    def test_draining_searcher_gets_no_sub_queries(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
         harness.core.on_report(UpstreamReport((1,), (UpstreamState.DRAINING,), (0,), (0,), (2,)))
         self.assertEqual([2], [row[2] for row in harness.sends(harness.start())])
@@ -150,19 +150,19 @@
                 rows = harness.sends(harness.answer(row, 1.0, SubCode.SHED, wait_ms))
                 row = rows[0] if rows else None
 
-    def test_all_replicas_shed_and_are_asked_again_after_the_wait(self):
+    def test_replicas_that_all_shed_are_retried_after_the_delay(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]}, builders.traffic_class(extra_load=1.0))
         self.all_shed(harness)
         self.assertEqual([], harness.sends(harness.core.tick(20.0)))
         self.assertEqual(1, len(harness.sends(harness.core.tick(21.0))))
 
-    def test_a_wait_past_the_deadline_is_given_up_at_once(self):
+    def test_part_is_given_up_if_its_retry_would_miss_the_deadline(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
         row = harness.sends(harness.start())[0]
         (short,) = all_answers(harness.answer(row, 1.0, SubCode.SHED, 500))
         self.assertEqual(["shed"], [missing.why for missing in short.answer.missing])
 
-    def test_a_retry_that_cannot_be_sent_keeps_its_token(self):
+    def test_retry_that_cannot_be_sent_keeps_its_token(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
         self.all_shed(harness)
         harness.relays.clear()
@@ -171,7 +171,7 @@
             harness.core.tick(float(now_ms))
         self.assertEqual(before, harness.tokens())
 
-    def test_waiting_parts_share_one_wake_up(self):
+    def test_waiting_parts_share_scheduled_checks(self):
         spans = [(1, lo, lo + 1024) for lo in range(0, builders.KEYS, 1024)]
         harness = CoreHarness({1: spans}, builders.traffic_class(extra_load=0.0), hedging=True)
         self.all_shed(harness)
@@ -179,7 +179,7 @@
             harness.core.tick(float(now_ms))
             self.assertLessEqual(len(harness.core._state.open.due), 4)
 
-    def test_waiting_parts_are_asked_again_without_hedging_too(self):
+    def test_waiting_parts_are_retried_without_hedging_too(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]}, hedging=False)
         self.all_shed(harness)
         target = harness.relays.pop(1)
@@ -190,7 +190,7 @@
 
 
 class VersionTest(unittest.TestCase):
-    def test_a_version_that_is_gone_is_replaced_and_never_mixed(self):
+    def test_version_that_is_gone_is_replaced_and_never_mixed(self):
         harness = CoreHarness({1: [LOW, HIGH], 2: [(2, *LOW[1:]), (2, *HIGH[1:])]})
         harness.catalog.on_state(2, UpstreamState.DOWN)
         low, high = harness.sends(harness.start())
@@ -206,7 +206,7 @@
         spans = [LOW[1:], HIGH[1:]]
         self.assertEqual(builders.best_hits(2, spans), list(answer.hits))
 
-    def test_a_version_that_reaches_less_does_not_replace_a_good_one(self):
+    def test_version_with_lower_coverage_does_not_replace_a_better_one(self):
         quarters = [(1, lo, lo + HALF // 2) for lo in range(0, builders.KEYS, HALF // 2)]
         harness = CoreHarness({1: quarters, 2: [(2, 0, HALF // 2)]})
         rows = harness.sends(harness.start())
@@ -217,7 +217,7 @@
         (answer,) = all_answers(effects)
         self.assertEqual((1, "version-gone"), (answer.version, answer.missing[0].why))
 
-    def test_a_late_replan_does_not_throw_away_what_meets_the_class(self):
+    def test_late_replan_does_not_discard_sufficient_coverage(self):
         for now_ms, replans in ((50.0, True), (150.0, False)):
             with self.subTest(now_ms):
                 held = {1: [LOW, HIGH], 2: [(2, 0, builders.KEYS)]}
@@ -230,7 +230,7 @@
                 self.assertEqual(replans, bool(harness.sends(effects)))
                 self.assertEqual(not replans, bool(all_answers(effects)))
 
-    def test_replanned_sub_queries_earn_no_budget(self):
+    def test_replanned_sub_queries_credit_no_tokens(self):
         harness = CoreHarness({1: [LOW, HIGH], 2: [(2, 0, builders.KEYS)]})
         harness.catalog.on_state(2, UpstreamState.DOWN)
         low, _ = harness.sends(harness.start())
@@ -255,7 +255,7 @@
         self.assertEqual((1.0, ()), (answer.coverage, answer.missing))
         self.assertEqual(builders.best_hits(1, [LOW[1:], HIGH[1:]]), list(answer.hits))
 
-    def test_a_range_of_which_a_part_is_nowhere_is_listed_as_missing(self):
+    def test_partly_unannounced_range_is_listed_as_missing(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
         row = harness.sends(harness.start())[0]
         harness.catalog.on_holdings(builders.holding(1, []))
@@ -267,21 +267,21 @@
 
 
 class EndTest(unittest.TestCase):
-    def test_a_hopeless_query_falls_short_at_once_and_asks_nobody(self):
+    def test_unattainable_coverage_is_a_shortfall_without_sub_queries(self):
         harness = CoreHarness({1: [LOW]}, builders.traffic_class(least_coverage=0.9))
         (short,) = harness.start()
         self.assertIsInstance(short, Shortfall)
         missing = [(m.lo, m.hi, m.why) for m in short.answer.missing]
         self.assertEqual([(*LOW[1:], "not-asked"), (*HIGH[1:], "no-replica")], missing)
 
-    def test_a_query_that_gets_hopeless_falls_short_and_cancels(self):
+    def test_coverage_that_becomes_unattainable_is_a_shortfall_and_cancels(self):
         harness = CoreHarness({1: [LOW], 2: [HIGH]}, builders.traffic_class(least_coverage=0.9))
         low, high = harness.sends(harness.start())
         effects = harness.answer(low, 5.0, SubCode.DRAINING)
         self.assertIsInstance(all_answers(effects)[0], Shortfall)
         self.assertEqual([(1, *high[:2])], cancels(effects))
 
-    def test_the_deadline_answers_with_what_is_covered(self):
+    def test_deadline_answers_with_the_current_coverage(self):
         traffic = builders.traffic_class(least_coverage=0.4, prefers="coverage")
         harness = CoreHarness({1: [LOW], 2: [HIGH]}, traffic)
         low, _ = harness.sends(harness.start())
@@ -293,7 +293,7 @@
         self.assertEqual([(*HIGH[1:], builders.count(*HIGH), "deadline")], missing)
         self.assertEqual(builders.best_hits(1, [LOW[1:]]), list(answer.hits))
 
-    def test_latency_first_answers_from_half_the_deadline_with_what_is_enough(self):
+    def test_latency_class_answers_with_minimum_coverage_from_half_the_deadline(self):
         for least, at_ms in ((0.4, 100.0), (0.9, 196.0)):
             traffic = builders.traffic_class(least_coverage=least)
             harness = CoreHarness({1: [LOW], 2: [HIGH]}, traffic)
@@ -303,7 +303,7 @@
             (found,) = all_answers(harness.core.tick(at_ms))
             self.assertEqual(least < 0.5, isinstance(found, Answer))
 
-    def test_latency_first_answers_at_once_when_enough_comes_late(self):
+    def test_latency_class_answers_as_soon_as_minimum_coverage_is_reached_late(self):
         traffic = builders.traffic_class(least_coverage=0.4)
         harness = CoreHarness({1: [LOW], 2: [HIGH]}, traffic)
         low, _ = harness.sends(harness.start())
@@ -315,7 +315,7 @@
         (short,) = CoreHarness({}).start()
         self.assertEqual((0, 0), (short.answer.version, short.answer.covered_records))
 
-    def test_equal_scores_come_in_one_order(self):
+    def test_hits_of_equal_score_have_a_fixed_order(self):
         hits = {lo: [{"id": f"{lo}", "score": 0.5}] for lo in (0, HALF)}
         orders = []
         for flipped in (False, True):
@@ -333,7 +333,7 @@
         self.row = self.harness.sends(self.harness.start())[0]
         self.body = builders.found(1, 0, builders.KEYS)
 
-    def test_other_relays_attempts_parts_and_calls_are_ignored(self):
+    def test_replies_that_match_no_attempt_are_ignored(self):
         for relay, key in (
             ("r2", (1, 0, 0)),
             ("r1", (1, 0, 1)),
@@ -345,7 +345,7 @@
                 self.assertEqual([], self.harness.core.on_reply(relay, reply, 5.0))
         self.assertEqual(1, len(all_answers(self.harness.answer(self.row, 6.0))))
 
-    def test_an_answer_given_twice_in_a_batch_counts_once(self):
+    def test_duplicate_answer_in_a_batch_counts_once(self):
         row = (1, 0, 0, SubCode.ANSWERED, 0, self.body)
         (answer,) = self.harness.core.on_reply("r1", builders.reply(row, row), 5.0)
         self.assertEqual(builders.count(1, 0, builders.KEYS), answer.covered_records)
--- a/rhubarbhinge/query/tests/test_owner_waits.py
+++ b/rhubarbhinge/query/tests/test_owner_waits.py
@@ -1,7 +1,7 @@
-"""Parts whose replicas have no relay for a moment, or one that does not own them yet.
+"""Tests of parts whose replicas briefly have no relay, or one that does not own them yet.
 
-The load: searches while relays are linked anew, and while entries and relays do not agree on the
-owner of a searcher.
+This happens to searches while relays reconnect, and while entries and relays disagree on the owner
+of a searcher.
 """
 
 import unittest
@@ -25,7 +25,7 @@
         return self.harness.start(deadline_ms=5_000.0)
 
     def tick_until(self, end_ms):
-        """Let the core look whenever it is due; give the effects."""
+        """Tick the core whenever it is due and return the effects."""
         effects = []
         while (due_ms := self.harness.core.next_due_ms()) is not None and due_ms <= end_ms:
             effects += self.harness.core.tick(due_ms)
@@ -35,33 +35,33 @@
         (answer,) = all_answers(self.harness.answer(row, now_ms))
         return answer.coverage
 
-    def test_a_part_waits_for_a_relay_that_is_about_to_be_linked(self):
-        """Guards against a range that is given up at once while its relay is linked anew."""
+    def test_part_waits_for_an_expected_relay(self):
+        """Guards against ranges given up at once while their relay reconnects."""
         self.assertEqual([], self.start_unlinked(expected=True))
         self.assertEqual([], self.tick_until(300.0))
         self.harness.relays[1] = self.relay
         (row,) = self.harness.sends(self.tick_until(400.0))
         self.assertEqual(1.0, self.answered(row, 410.0))
 
-    def test_a_part_without_an_expected_relay_is_given_up_at_once(self):
+    def test_part_without_an_expected_relay_is_given_up_at_once(self):
         (answer,) = all_answers(self.start_unlinked(expected=False))
         self.assertEqual(["no-replica"], [missing.why for missing in answer.missing])
 
-    def test_a_part_is_given_up_once_its_relay_is_no_longer_expected(self):
+    def test_part_is_given_up_once_its_relay_is_no_longer_expected(self):
         self.start_unlinked(expected=True)
         self.assertEqual([], self.tick_until(300.0))
         self.harness.expected.clear()
         (answer,) = all_answers(self.tick_until(400.0))
         self.assertEqual(["no-replica"], [missing.why for missing in answer.missing])
 
-    def test_a_class_that_prefers_latency_is_answered_at_half_the_deadline(self):
+    def test_class_that_prefers_latency_is_answered_at_half_the_deadline(self):
         self.start_unlinked(expected=True)
         self.assertEqual([], all_answers(self.tick_until(2_499.0)))
         (answer,) = all_answers(self.tick_until(2_500.0))
         self.assertEqual(["no-replica"], [missing.why for missing in answer.missing])
 
-    def test_a_relay_that_does_not_own_a_replica_yet_is_asked_until_it_does(self):
-        """Guards against attempts that are used up while relays agree on an owner."""
+    def test_relay_that_does_not_own_a_replica_yet_is_retried_until_it_does(self):
+        """Guards against using up all attempts before the relays agree on an owner."""
         (row,) = self.harness.sends(self.harness.start(deadline_ms=5_000.0))
         now_ms, refusals = 1.0, 0
         while now_ms < 600.0:
@@ -75,8 +75,8 @@
         self.assertGreater(refusals, QueryPolicy().max_attempts)
         self.assertEqual(1.0, self.answered(row, now_ms))
 
-    def test_what_a_lost_relay_was_sent_is_sent_to_it_again_without_spending(self):
-        """Guards against parts that wait for a token though nothing of theirs runs."""
+    def test_sub_queries_of_a_lost_relay_are_resent_to_it_without_a_token(self):
+        """Guards against parts that wait for a token although none of their attempts runs."""
         self.harness.start(deadline_ms=5_000.0)
         self.harness.expected.add(1)
         del self.harness.relays[1]
--- a/rhubarbhinge/query/tests/test_schedules.py
+++ b/rhubarbhinge/query/tests/test_schedules.py
@@ -1,4 +1,4 @@
-"""Hypothesis schedules over the query core: every answer is whole, true and in time."""
+"""Property tests of the query core: every answer is complete, correct and in time."""
 
 import unittest
 
@@ -19,7 +19,7 @@
     deadline=None,
     database=None,
     max_examples=200,
-    phases=[Phase.generate],  # Shrinking a failure here takes minutes.
+    phases=[Phase.generate],  # Shrinking a failing schedule takes minutes.
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
 )
 
@@ -45,7 +45,7 @@
         st.sampled_from(POLICIES),
         st.lists(STEP, min_size=10, max_size=50),
     )
-    def test_every_answer_is_whole_true_and_in_time(self, seed, fault_rate, policy, steps):
+    def test_every_answer_is_complete_correct_and_in_time(self, seed, fault_rate, policy, steps):
         schedule = run_schedule(seed, fault_rate, policy, steps)
         self.assertEqual([], own_answer(schedule.events, self.is_own(schedule)))
         self.assertEqual([], one_snapshot(schedule.events, snapshot_of))
@@ -77,7 +77,7 @@
             self.assertEqual(wanted, event["body"]["hits"])
 
     def check_budget(self, schedule):
-        """A sub-query beyond a part's first counts unless it was refused as not run."""
+        """Resends are extra load unless the previous attempt was not run or was lost."""
         sends = {}
         for call_id, part, _ in schedule.sent:
             sends[call_id, part] = sends.get((call_id, part), 0) + 1
