--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -1,9 +1,7 @@
 """Tickets for requests that must not repeat."""
 
-from rhubarbhinge.once._asker import LocalAsker, PeerAsker
+from rhubarbhinge.once._body_digest import body_digest
 from rhubarbhinge.once._book import TicketBook
-from rhubarbhinge.once._codes import Code
-from rhubarbhinge.once._digest import body_digest
 from rhubarbhinge.once._drain_report import DrainReport
 from rhubarbhinge.once._effects import (
     AnswerOutcome,
@@ -14,16 +12,18 @@
     SendClaim,
     StartRun,
 )
-from rhubarbhinge.once._fault import TicketFault
 from rhubarbhinge.once._guard import RunGuard
 from rhubarbhinge.once._history import check_history
 from rhubarbhinge.once._incarnation import draw_incarnation
+from rhubarbhinge.once._invalid_ticket import InvalidTicket
 from rhubarbhinge.once._keybook import KeyBook
+from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind, kind_of
-from rhubarbhinge.once._permit import SendPermit
+from rhubarbhinge.once._outcome_codes import Code
+from rhubarbhinge.once._requester import LocalRequester, PeerRequester
 from rhubarbhinge.once._run_results import RunResults
+from rhubarbhinge.once._send_permit import SendPermit
 from rhubarbhinge.once._sent_runs import SentRuns
-from rhubarbhinge.once._settings import OnceSettings
 from rhubarbhinge.once._signer import Signer
 from rhubarbhinge.once._ticket import Ticket
 from rhubarbhinge.once._violation import Fault, Violation
@@ -36,12 +36,13 @@
     "Effect",
     "Fault",
     "Forward",
+    "InvalidTicket",
     "KeyBook",
-    "LocalAsker",
+    "LocalRequester",
     "OnceSettings",
     "Outcome",
     "OutcomeKind",
-    "PeerAsker",
+    "PeerRequester",
     "ReplyForward",
     "RunGuard",
     "RunResults",
@@ -52,7 +53,6 @@
     "StartRun",
     "Ticket",
     "TicketBook",
-    "TicketFault",
     "Violation",
     "body_digest",
     "check_history",
--- a/rhubarbhinge/once/_book.py
+++ b/rhubarbhinge/once/_book.py
@@ -1,9 +1,6 @@
 """The book of one entry's tickets."""
 
-from rhubarbhinge.once._answers import answer
-from rhubarbhinge.once._asker import Asker, LocalAsker, PeerAsker
-from rhubarbhinge.once._codes import Code, not_run, unknown
-from rhubarbhinge.once._digest import body_digest
+from rhubarbhinge.once._body_digest import body_digest
 from rhubarbhinge.once._drain_report import DrainReport
 from rhubarbhinge.once._effects import (
     AnswerOutcome,
@@ -12,16 +9,19 @@
     Forward,
     SendClaim,
 )
-from rhubarbhinge.once._fault import TicketFault
 from rhubarbhinge.once._forwards import ForwardTable, PendingForward
+from rhubarbhinge.once._invalid_ticket import InvalidTicket
 from rhubarbhinge.once._key_results import KeyBound, KeyEffect, KeyRefused
 from rhubarbhinge.once._keybook import KeyBook
-from rhubarbhinge.once._ledger import TicketLedger
+from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind, kind_of
-from rhubarbhinge.once._permit import SendPermit
-from rhubarbhinge.once._settings import OnceSettings
+from rhubarbhinge.once._outcome_codes import Code, not_run, unknown
+from rhubarbhinge.once._outcome_effects import outcome_effect
+from rhubarbhinge.once._requester import LocalRequester, PeerRequester, Requester
+from rhubarbhinge.once._send_permit import SendPermit
 from rhubarbhinge.once._signer import Signer
 from rhubarbhinge.once._ticket import Ticket
+from rhubarbhinge.once._ticket_store import TicketStore
 from rhubarbhinge.wire._key_claim import KeyClaim
 from rhubarbhinge.wire._key_claim_reply import KeyClaimReply
 from rhubarbhinge.wire._ticket_forward import TicketForward
@@ -40,7 +40,7 @@
         self._signer = signer
         self._keys = keys
         self._settings = settings
-        self._ledger = TicketLedger(signer, settings)
+        self._ticket_store = TicketStore(signer, settings)
         self._forwards = ForwardTable(settings.most_forwards)
         self._draining = False
 
@@ -50,7 +50,7 @@
 
         :returns: the number of records, of any state.
         """
-        return len(self._ledger)
+        return len(self._ticket_store)
 
     def on_mint(
         self, request: int, action: str, body: bytes, key: str | None, now_ms: int
@@ -66,18 +66,18 @@
         :param now_ms: time on this entry's clock.
         :returns: a redirect, a refusal, or a claim of the key.
         """
-        self._ledger.forget(now_ms)
+        self._ticket_store.remove_expired(now_ms)
         refuse = not_run if key is None else unknown
         if self._draining:
             return [AnswerOutcome(request, refuse(Code.DRAINING))]
-        full_for_ms = self._ledger.full_for_ms(now_ms)
+        full_for_ms = self._ticket_store.full_for_ms(now_ms)
         if full_for_ms:
             return [AnswerOutcome(request, refuse(Code.FULL, full_for_ms))]
         digest = body_digest(action, body)
-        text = self._ledger.mint(action, digest, now_ms)
+        text = self._ticket_store.mint(action, digest, now_ms)
         if key is None:
             return [AnswerRedirect(request, text, self._settings.lifetime_ms)]
-        return self._from_keys(self._keys.start(request, key, digest, text, now_ms), now_ms)
+        return self._apply_key_effects(self._keys.start(request, key, digest, text, now_ms), now_ms)
 
     def on_run(self, request: int, text: str, body: bytes, now_ms: int) -> list[Effect]:
         """Take a request with a ticket: run it here once, or ask its owner.
@@ -88,7 +88,7 @@
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
-        return self._take(request, text, body, False, now_ms)
+        return self._handle_ticket(request, text, body, False, now_ms)
 
     def on_read(self, request: int, text: str, now_ms: int) -> list[Effect]:
         """Take a read of a ticket's outcome; it never runs the ticket.
@@ -98,7 +98,7 @@
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
-        return self._take(request, text, b"", True, now_ms)
+        return self._handle_ticket(request, text, b"", True, now_ms)
 
     def on_forwarded(self, message: TicketForward, now_ms: int) -> list[Effect]:
         """Take a run or a read that another entry passed on.
@@ -107,15 +107,17 @@
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
-        asker = PeerAsker(message.from_entry, message.from_incarnation, message.call)
+        requester = PeerRequester(message.from_entry, message.from_incarnation, message.call)
         ticket = self._signer.verify(message.ticket)
-        if isinstance(ticket, TicketFault):
-            return [answer(asker, message.ticket, unknown(ticket.code))]
-        me = (self._signer.entry, self._signer.incarnation)
-        meant_for = (message.owner_entry, message.owner_incarnation)
-        if me != meant_for or not self._signer.owns(ticket):
-            return [answer(asker, message.ticket, unknown(Code.OTHER_INCARNATION))]
-        return self._own(asker, ticket, message.ticket, message.body, message.read, now_ms)
+        if isinstance(ticket, InvalidTicket):
+            return [outcome_effect(requester, message.ticket, unknown(ticket.code))]
+        own_identity = (self._signer.entry, self._signer.incarnation)
+        intended_owner = (message.owner_entry, message.owner_incarnation)
+        if own_identity != intended_owner or not self._signer.owns(ticket):
+            return [outcome_effect(requester, message.ticket, unknown(Code.OTHER_INCARNATION))]
+        return self._handle_own_ticket(
+            requester, ticket, message.ticket, message.body, message.read, now_ms
+        )
 
     def on_forward_result(self, reply: TicketForwardReply, now_ms: int) -> list[Effect]:
         """Take the owner's answer to a forwarded ticket.
@@ -130,10 +132,10 @@
         pending = self._forwards.close(reply.call, reply.ticket)
         if pending is None:
             return []
-        found = Outcome(
+        outcome = Outcome(
             kind, reply.code, reply.message, reply.todo, reply.retry_after_ms, reply.result
         )
-        return [AnswerOutcome(pending.request, found)]
+        return [AnswerOutcome(pending.request, outcome)]
 
     def on_send(self, text: str, now_ms: int) -> SendPermit:
         """Check once more, just before the first byte of a run leaves.
@@ -145,7 +147,7 @@
         :param now_ms: time on this entry's clock, read after everything that can block.
         :returns: whether to send; True at most once for a ticket.
         """
-        return self._ledger.on_send(text, now_ms)
+        return self._ticket_store.on_send(text, now_ms)
 
     def on_upstream(
         self, text: str, kind: OutcomeKind, payload: bytes, retry_after_ms: int, now_ms: int
@@ -163,7 +165,7 @@
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
-        return self._ledger.on_upstream(text, kind, payload, retry_after_ms, now_ms)
+        return self._ticket_store.on_upstream(text, kind, payload, retry_after_ms, now_ms)
 
     def on_peer_gone(self, entry: str, incarnation: int, now_ms: int) -> list[Effect]:
         """Answer what was asked of an entry that can't be reached.
@@ -184,7 +186,7 @@
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
-        return self._from_keys(self._keys.on_peer_gone(entry, now_ms), now_ms)
+        return self._apply_key_effects(self._keys.on_peer_gone(entry, now_ms), now_ms)
 
     def owners_asked(self) -> set[tuple[str, int]]:
         """Return the entries that were passed tickets and have not answered.
@@ -221,7 +223,7 @@
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
-        return self._from_keys(self._keys.on_reply(reply, now_ms), now_ms)
+        return self._apply_key_effects(self._keys.on_reply(reply, now_ms), now_ms)
 
     def tick(self, now_ms: int) -> list[Effect]:
         """End what is past its time.
@@ -229,10 +231,10 @@
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
-        effects = self._ledger.end_late_runs(now_ms)
+        effects = self._ticket_store.end_late_runs(now_ms)
         effects += _give_up(self._forwards.close_late(now_ms), Code.OWNER_SILENT)
-        effects += self._from_keys(self._keys.tick(now_ms), now_ms)
-        self._ledger.forget(now_ms)
+        effects += self._apply_key_effects(self._keys.tick(now_ms), now_ms)
+        self._ticket_store.remove_expired(now_ms)
         return effects
 
     def drain(self, now_ms: int) -> DrainReport:
@@ -242,25 +244,32 @@
         :returns: what is still open.
         """
         self._draining = True
-        ends_ms = max(self._ledger.open_until_ms(now_ms), self._forwards.last_deadline_ms)
+        ends_ms = max(self._ticket_store.open_until_ms(now_ms), self._forwards.last_deadline_ms)
         return DrainReport(
-            self._ledger.unused(now_ms), self._ledger.running, len(self._forwards), ends_ms - now_ms
+            self._ticket_store.unused(now_ms),
+            self._ticket_store.running,
+            len(self._forwards),
+            ends_ms - now_ms,
         )
 
-    def _take(self, request: int, text: str, body: bytes, read: bool, now_ms: int) -> list[Effect]:
+    def _handle_ticket(
+        self, request: int, text: str, body: bytes, read: bool, now_ms: int
+    ) -> list[Effect]:
         ticket = self._signer.verify(text)
-        if isinstance(ticket, TicketFault):
+        if isinstance(ticket, InvalidTicket):
             return [AnswerOutcome(request, unknown(ticket.code))]
         if self._signer.owns(ticket):
-            return self._own(LocalAsker(request), ticket, text, body, read, now_ms)
+            return self._handle_own_ticket(
+                LocalRequester(request), ticket, text, body, read, now_ms
+            )
         return self._forward(request, ticket, text, body, read, now_ms)
 
-    def _own(
-        self, asker: Asker, ticket: Ticket, text: str, body: bytes, read: bool, now_ms: int
+    def _handle_own_ticket(
+        self, requester: Requester, ticket: Ticket, text: str, body: bytes, read: bool, now_ms: int
     ) -> list[Effect]:
         if read:
-            return self._ledger.read(asker, ticket, text, now_ms)
-        return self._ledger.run(asker, ticket, text, body, now_ms)
+            return self._ticket_store.read(requester, ticket, text, now_ms)
+        return self._ticket_store.run(requester, ticket, text, body, now_ms)
 
     def _forward(
         self, request: int, ticket: Ticket, text: str, body: bytes, read: bool, now_ms: int
@@ -289,22 +298,22 @@
         )
         return Forward(pending.request, pending.owner, message)
 
-    def _from_keys(self, key_effects: list[KeyEffect], now_ms: int) -> list[Effect]:
+    def _apply_key_effects(self, key_effects: list[KeyEffect], now_ms: int) -> list[Effect]:
         effects: list[Effect] = []
         for effect in key_effects:
             if isinstance(effect, SendClaim):
                 effects.append(effect)
                 continue
             if effect.unused is not None:
-                self._ledger.release(effect.unused)
+                self._ticket_store.discard(effect.unused)
             effects.append(self._key_answer(effect, now_ms))
         return effects
 
     def _key_answer(self, effect: KeyBound | KeyRefused, now_ms: int) -> Effect:
         if isinstance(effect, KeyRefused):
             return AnswerOutcome(effect.request, effect.outcome)
-        left_ms = self._ledger.left_ms(effect.ticket, now_ms)
-        return AnswerRedirect(effect.request, effect.ticket, left_ms)
+        remaining_ms = self._ticket_store.remaining_ms(effect.ticket, now_ms)
+        return AnswerRedirect(effect.request, effect.ticket, remaining_ms)
 
 
 def _give_up(calls: list[PendingForward], code: Code) -> list[Effect]:
--- a/rhubarbhinge/once/_forwards.py
+++ b/rhubarbhinge/once/_forwards.py
@@ -28,11 +28,11 @@
 class ForwardTable:
     """Calls to other entries that have no reply yet.
 
-    :param most: calls at once.
+    :param max_calls: calls at once.
     """
 
-    def __init__(self, most: int):
-        self._most = most
+    def __init__(self, max_calls: int):
+        self._max_calls = max_calls
         self._pending: dict[int, PendingForward] = {}
         self._next_call = 0
 
@@ -45,7 +45,7 @@
 
         :returns: True if so.
         """
-        return len(self._pending) >= self._most
+        return len(self._pending) >= self._max_calls
 
     @property
     def last_deadline_ms(self) -> int:
--- a/rhubarbhinge/once/_guard.py
+++ b/rhubarbhinge/once/_guard.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass
 
-from rhubarbhinge.once._codes import Code
 from rhubarbhinge.once._outcome import OutcomeKind
+from rhubarbhinge.once._outcome_codes import Code
 from rhubarbhinge.wire._run_reply import RunReply
 from rhubarbhinge.wire._run_request import RunRequest
 
 
 @dataclass(slots=True)
-class _Seen:
+class _SeenTicket:
     deadline_ms: int
-    until_ms: int
+    keep_until_ms: int
     sent: bool = False
 
 
@@ -24,15 +24,15 @@
     :param relay: name of this relay.
     :param incarnation: its incarnation.
     :param window_ms: how long a ticket is remembered; at least the lifetime of a ticket and a run.
-    :param most: tickets remembered at once; one more is refused as not run.
+    :param max_tickets: tickets remembered at once; one more is refused as not run.
     """
 
-    def __init__(self, relay: str, incarnation: int, window_ms: int, most: int):
+    def __init__(self, relay: str, incarnation: int, window_ms: int, max_tickets: int):
         self._relay = relay
         self._incarnation = incarnation
         self._window_ms = window_ms
-        self._most = most
-        self._seen: dict[str, _Seen] = {}
+        self._max_tickets = max_tickets
+        self._seen: dict[str, _SeenTicket] = {}
 
     def on_request(self, request: RunRequest, now_ms: int) -> RunReply | None:
         """Take a run from an entry.
@@ -41,18 +41,18 @@
         :param now_ms: time on this relay's clock.
         :returns: None to go on to ``may_send``, else the reply to send back.
         """
-        self._forget(now_ms)
+        self._remove_expired(now_ms)
         if (request.relay, request.relay_incarnation) != (self._relay, self._incarnation):
             return _reply(request, OutcomeKind.UNKNOWN, Code.OTHER_INCARNATION)
         if request.ticket in self._seen:
             return _reply(request, OutcomeKind.UNKNOWN, Code.DUPLICATE)
-        if len(self._seen) >= self._most:
+        if len(self._seen) >= self._max_tickets:
             return _reply(request, OutcomeKind.REFUSED_NOT_RUN, Code.FULL)
         deadline_ms = request.relay_deadline_ms
         if now_ms >= deadline_ms:
             return _reply(request, OutcomeKind.REFUSED_NOT_RUN, Code.LATE_SEND)
-        until_ms = now_ms + self._window_ms
-        self._seen[request.ticket] = _Seen(deadline_ms, until_ms)
+        keep_until_ms = now_ms + self._window_ms
+        self._seen[request.ticket] = _SeenTicket(deadline_ms, keep_until_ms)
         return None
 
     def may_send(self, request: RunRequest, now_ms: int) -> RunReply | None:
@@ -77,10 +77,10 @@
         """
         self._seen.pop(ticket, None)
 
-    def _forget(self, now_ms: int) -> None:
+    def _remove_expired(self, now_ms: int) -> None:
         while self._seen:
             ticket, seen = next(iter(self._seen.items()))
-            if now_ms < seen.until_ms:
+            if now_ms < seen.keep_until_ms:
                 return
             del self._seen[ticket]
 
--- a/rhubarbhinge/once/_history.py
+++ b/rhubarbhinge/once/_history.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class _State:
+class _HistoryState:
     minted: set[str] = field(default_factory=set)
     sent: set[str] = field(default_factory=set)
     ran: set[str] = field(default_factory=set)
@@ -35,17 +35,17 @@
     :param lines: the events, oldest first; empty lines are passed over.
     :returns: every violation, in the order of the lines; empty if all promises held.
     """
-    state = _State()
-    found: list[Violation] = []
+    state = _HistoryState()
+    violations: list[Violation] = []
     for number, line in enumerate(lines, start=1):
         if not line.strip():
             continue
         for fault, subject in _check_line(state, line):
-            found.append(Violation(fault, number, subject))
-    return found
+            violations.append(Violation(fault, number, subject))
+    return violations
 
 
-def _check_line(state: _State, line: str) -> list[tuple[Fault, str]]:
+def _check_line(state: _HistoryState, line: str) -> list[tuple[Fault, str]]:
     parts = line.split()
     if len(parts) != _FIELDS or parts[0] not in _CHECKS:
         return [(Fault.MALFORMED, line)]
@@ -53,36 +53,36 @@
     return _CHECKS[name](state, ticket, detail)
 
 
-def _faults(found: dict[Fault, bool], ticket: str) -> list[tuple[Fault, str]]:
-    return [(fault, ticket) for fault, holds in found.items() if holds]
+def _faults(checks: dict[Fault, bool], ticket: str) -> list[tuple[Fault, str]]:
+    return [(fault, ticket) for fault, holds in checks.items() if holds]
 
 
-def _on_mint(state: _State, ticket: str, _detail: str) -> list[tuple[Fault, str]]:
+def _on_mint(state: _HistoryState, ticket: str, _detail: str) -> list[tuple[Fault, str]]:
     state.minted.add(ticket)
     return []
 
 
-def _on_send(state: _State, ticket: str, _relay: str) -> list[tuple[Fault, str]]:
-    found = {
+def _on_send(state: _HistoryState, ticket: str, _relay: str) -> list[tuple[Fault, str]]:
+    checks = {
         Fault.SENT_UNMINTED: ticket not in state.minted,
         Fault.SENT_TWICE: ticket in state.sent,
         Fault.REFUSED_THEN_SENT: ticket in state.refused,
     }
     state.sent.add(ticket)
-    return _faults(found, ticket)
+    return _faults(checks, ticket)
 
 
-def _on_run(state: _State, ticket: str, _upstream: str) -> list[tuple[Fault, str]]:
-    found = {
+def _on_run(state: _HistoryState, ticket: str, _upstream: str) -> list[tuple[Fault, str]]:
+    checks = {
         Fault.RAN_UNSENT: ticket not in state.sent,
         Fault.RAN_TWICE: ticket in state.ran,
         Fault.REFUSED_BUT_RAN: ticket in state.refused,
     }
     state.ran.add(ticket)
-    return _faults(found, ticket)
+    return _faults(checks, ticket)
 
 
-def _on_answer(state: _State, ticket: str, kind: str) -> list[tuple[Fault, str]]:
+def _on_answer(state: _HistoryState, ticket: str, kind: str) -> list[tuple[Fault, str]]:
     if kind == OutcomeKind.RAN:
         return [] if ticket in state.ran else [(Fault.ANSWERED_WITHOUT_RUN, ticket)]
     if kind == OutcomeKind.REFUSED_NOT_RUN:
@@ -91,7 +91,7 @@
     return [] if kind == OutcomeKind.UNKNOWN else [(Fault.MALFORMED, f"answer {ticket} {kind}")]
 
 
-def _on_bind(state: _State, ticket: str, key: str) -> list[tuple[Fault, str]]:
+def _on_bind(state: _HistoryState, ticket: str, key: str) -> list[tuple[Fault, str]]:
     first = state.bound.setdefault(key, ticket)
     return [] if first == ticket else [(Fault.KEY_TWO_TICKETS, key)]
 
--- a/rhubarbhinge/once/_fault.py
+++ b/rhubarbhinge/once/_invalid_ticket.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from rhubarbhinge.once._codes import Code
+from rhubarbhinge.once._outcome_codes import Code
 
 
 @dataclass(frozen=True, slots=True)
-class TicketFault:
+class InvalidTicket:
     """Why a text isn't a usable ticket.
 
     :param code: ``ticket-malformed``, ``ticket-forged``, ``ticket-expired`` or
--- a/rhubarbhinge/once/_key_bindings.py
+++ b/rhubarbhinge/once/_key_bindings.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass, replace
 
+from rhubarbhinge.once._key_claim_step import KeyClaimStep
 from rhubarbhinge.once._key_owners import KeyOwners
 from rhubarbhinge.once._key_reply_code import KeyReplyCode
-from rhubarbhinge.once._key_step import KeyStep
-from rhubarbhinge.once._settings import OnceSettings
+from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.wire._key_claim import KeyClaim
 from rhubarbhinge.wire._key_claim_reply import KeyClaimReply
 
@@ -15,7 +15,7 @@
     ticket: str
     digest: bytes
     copied: bool
-    until_ms: int
+    keep_until_ms: int
 
 
 class KeyBindings:
@@ -43,53 +43,53 @@
         :param now_ms: time on this entry's clock.
         :returns: the reply.
         """
-        self.forget(now_ms)
+        self.remove_expired(now_ms)
         held = self._bindings.get(claim.key)
         if held is not None:
             return self._on_held(claim, held, now_ms)
         refusal = self._refusal(claim, now_ms)
         if refusal is not None:
             return self._reply(claim, *refusal)
-        fresh = _Binding(claim.ticket, claim.digest, claim.step == KeyStep.COPY, 0)
-        return self._bind(claim, fresh, now_ms)
+        binding = _Binding(claim.ticket, claim.digest, claim.step == KeyClaimStep.COPY, 0)
+        return self._bind(claim, binding, now_ms)
 
-    def forget(self, now_ms: int) -> None:
+    def remove_expired(self, now_ms: int) -> None:
         """Forget the bindings whose window is over.
 
         :param now_ms: time on this entry's clock.
         """
         while self._bindings:
             key, binding = next(iter(self._bindings.items()))
-            if now_ms < binding.until_ms:
+            if now_ms < binding.keep_until_ms:
                 return
             del self._bindings[key]
 
     def _on_held(self, claim: KeyClaim, held: _Binding, now_ms: int) -> KeyClaimReply:
-        if claim.step == KeyStep.LOOKUP and not held.copied:
+        if claim.step == KeyClaimStep.LOOKUP and not held.copied:
             return self._reply(claim, KeyReplyCode.NOT_HELD, self._settings.key_claim_ms)
-        confirms = claim.step == KeyStep.COPY and claim.ticket == held.ticket
+        confirms = claim.step == KeyClaimStep.COPY and claim.ticket == held.ticket
         return self._bind(claim, replace(held, copied=held.copied or confirms), now_ms)
 
     def _bind(self, claim: KeyClaim, binding: _Binding, now_ms: int) -> KeyClaimReply:
-        until_ms = now_ms + self._settings.key_window_ms
+        keep_until_ms = now_ms + self._settings.key_window_ms
         self._bindings.pop(claim.key, None)
-        self._bindings[claim.key] = replace(binding, until_ms=until_ms)
+        self._bindings[claim.key] = replace(binding, keep_until_ms=keep_until_ms)
         return self._reply(claim, KeyReplyCode.HELD, 0, binding)
 
     def _refusal(self, claim: KeyClaim, now_ms: int) -> tuple[KeyReplyCode, int] | None:
         retry_ms = self._settings.key_claim_ms
-        if claim.step == KeyStep.LOOKUP:
+        if claim.step == KeyClaimStep.LOOKUP:
             return KeyReplyCode.NOT_HELD, retry_ms
         age_ms = now_ms - self._started_ms
-        if age_ms < self._owners.memory_ms:
-            return KeyReplyCode.YOUNG, self._owners.memory_ms - age_ms
+        if age_ms < self._owners.delisted_rank_ms:
+            return KeyReplyCode.YOUNG, self._owners.delisted_rank_ms - age_ms
         if not self._owners.is_current(now_ms):
             return KeyReplyCode.LIST_OLD, retry_ms
         if not self._is_owner(claim.key, now_ms):
             return KeyReplyCode.NOT_OWNER, retry_ms
         if len(self._bindings) >= self._settings.most_keys:
             oldest = next(iter(self._bindings.values()))
-            return KeyReplyCode.FULL, max(1, oldest.until_ms - now_ms)
+            return KeyReplyCode.FULL, max(1, oldest.keep_until_ms - now_ms)
         return None
 
     def _is_owner(self, key: str, now_ms: int) -> bool:
--- a/rhubarbhinge/once/_key_step.py
+++ b/rhubarbhinge/once/_key_claim_step.py
@@ -3,7 +3,7 @@
 from enum import IntEnum
 
 
-class KeyStep(IntEnum):
+class KeyClaimStep(IntEnum):
     """What a claim asks of an owner of a key; the value goes into the message."""
 
     ORDER = 0
--- a/rhubarbhinge/once/_key_owners.py
+++ b/rhubarbhinge/once/_key_owners.py
@@ -2,11 +2,11 @@
 
 import hashlib
 
-OWNERS = 2
+OWNERS_PER_KEY = 2
 """Owners of a key: one orders the claims, the other keeps a copy."""
-LIST_AGE_SHARE = 0.25
+MAX_LIST_AGE_SHARE = 0.25
 """Oldest list of entries that is used, as a share of the window."""
-MEMORY_SHARE = 1.5
+DELISTED_RANK_SHARE = 1.5
 """Time over which a delisted entry keeps its rank, as a share of the window.
 
 A cut-off owner may bind keys until its list is too old; the entries that take its place must begin
@@ -25,8 +25,8 @@
     """
 
     def __init__(self, window_ms: int):
-        self.memory_ms = int(window_ms * MEMORY_SHARE)
-        self._list_age_ms = int(window_ms * LIST_AGE_SHARE)
+        self.delisted_rank_ms = int(window_ms * DELISTED_RANK_SHARE)
+        self._list_age_ms = int(window_ms * MAX_LIST_AGE_SHARE)
         self._listed: frozenset[str] = frozenset()
         self._delisted_ms: dict[str, int] = {}
         self._confirmed_ms: int | None = None
@@ -44,7 +44,9 @@
         self._confirmed_ms = confirmed_ms
         kept = self._delisted_ms.items()
         self._delisted_ms = {
-            name: ms for name, ms in kept if name not in listed and now_ms < ms + self.memory_ms
+            name: ms
+            for name, ms in kept
+            if name not in listed and now_ms < ms + self.delisted_rank_ms
         }
 
     def is_current(self, now_ms: int) -> bool:
@@ -72,9 +74,9 @@
         :param now_ms: time on this entry's clock.
         :returns: the names; fewer than two in a smaller domain.
         """
-        recent = {n for n, ms in self._delisted_ms.items() if now_ms < ms + self.memory_ms}
+        recent = {n for n, ms in self._delisted_ms.items() if now_ms < ms + self.delisted_rank_ms}
         ranked = sorted(self._listed | recent, key=lambda name: _score(key, name), reverse=True)
-        return tuple(ranked[:OWNERS])
+        return tuple(ranked[:OWNERS_PER_KEY])
 
 
 def _score(key: str, name: str) -> bytes:
--- a/rhubarbhinge/once/_keybook.py
+++ b/rhubarbhinge/once/_keybook.py
@@ -2,19 +2,19 @@
 
 from dataclasses import dataclass, replace
 
-from rhubarbhinge.once._codes import Code, not_run, unknown
 from rhubarbhinge.once._effects import SendClaim
 from rhubarbhinge.once._key_bindings import KeyBindings
+from rhubarbhinge.once._key_claim_step import KeyClaimStep
 from rhubarbhinge.once._key_owners import KeyOwners
 from rhubarbhinge.once._key_reply_code import KeyReplyCode
 from rhubarbhinge.once._key_results import KeyBound, KeyEffect, KeyRefused
-from rhubarbhinge.once._key_step import KeyStep
+from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome
-from rhubarbhinge.once._settings import OnceSettings
+from rhubarbhinge.once._outcome_codes import Code, not_run, unknown
 from rhubarbhinge.wire._key_claim import KeyClaim
 from rhubarbhinge.wire._key_claim_reply import KeyClaimReply
 
-_REFUSALS: dict[str, Code] = {
+_CODE_BY_REPLY: dict[str, Code] = {
     KeyReplyCode.NOT_HELD: Code.KEY_OWNER_GONE,
     KeyReplyCode.YOUNG: Code.KEY_OWNER_YOUNG,
     KeyReplyCode.LIST_OLD: Code.KEY_LIST_OLD,
@@ -31,13 +31,13 @@
     proposed: str
     ticket: str
     owners: tuple[str, ...]
-    step: KeyStep
+    step: KeyClaimStep
     deadline_ms: int
     refusal: Outcome | None = None
 
     @property
     def asked(self) -> str:
-        return self.owners[0] if self.step is KeyStep.ORDER else self.owners[-1]
+        return self.owners[0] if self.step is KeyClaimStep.ORDER else self.owners[-1]
 
 
 class KeyBook:
@@ -56,7 +56,7 @@
     def __init__(self, entry: str, incarnation: int, settings: OnceSettings, started_ms: int):
         self._entry = entry
         self._incarnation = incarnation
-        self._claim_ms = settings.key_claim_ms
+        self._claim_timeout_ms = settings.key_claim_ms
         self._owners = KeyOwners(settings.key_window_ms)
         self._bindings = KeyBindings(entry, settings, started_ms, self._owners)
         self._claims: dict[int, _Claim] = {}
@@ -85,10 +85,12 @@
         """
         owners = self._owners.owners(key, now_ms)
         if not owners or not self._owners.is_current(now_ms):
-            refusal = unknown(Code.KEY_LIST_OLD, self._claim_ms)
+            refusal = unknown(Code.KEY_LIST_OLD, self._claim_timeout_ms)
             return [KeyRefused(request, refusal, ticket)]
-        deadline_ms = now_ms + self._claim_ms
-        claim = _Claim(request, key, digest, ticket, ticket, owners, KeyStep.ORDER, deadline_ms)
+        deadline_ms = now_ms + self._claim_timeout_ms
+        claim = _Claim(
+            request, key, digest, ticket, ticket, owners, KeyClaimStep.ORDER, deadline_ms
+        )
         return [self._ask(claim)]
 
     def on_claim(self, claim: KeyClaim, now_ms: int) -> KeyClaimReply:
@@ -114,9 +116,11 @@
             return []
         del self._claims[reply.call]
         if now_ms >= claim.deadline_ms:
-            return [self._fall_back(claim, unknown(Code.KEY_OWNER_GONE, self._claim_ms), now_ms)]
+            return [
+                self._fall_back(claim, unknown(Code.KEY_OWNER_GONE, self._claim_timeout_ms), now_ms)
+            ]
         if reply.code != KeyReplyCode.HELD:
-            code = _REFUSALS.get(reply.code, Code.KEY_OWNER_GONE)
+            code = _CODE_BY_REPLY.get(reply.code, Code.KEY_OWNER_GONE)
             return [self._fall_back(claim, unknown(code, reply.retry_after_ms), now_ms)]
         return [self._on_held(claim, reply)]
 
@@ -137,7 +141,7 @@
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
-        self._bindings.forget(now_ms)
+        self._bindings.remove_expired(now_ms)
         late = [call for call, claim in self._claims.items() if now_ms >= claim.deadline_ms]
         return self._give_up(late, now_ms)
 
@@ -161,20 +165,22 @@
         unused = None if reply.ticket == claim.proposed else claim.proposed
         if reply.digest != claim.digest:
             return KeyRefused(claim.request, not_run(Code.KEY_MISMATCH), unused)
-        if claim.step is KeyStep.ORDER and len(claim.owners) > 1:
-            return self._ask(replace(claim, ticket=reply.ticket, step=KeyStep.COPY))
-        if claim.step is KeyStep.COPY and reply.ticket != claim.ticket:
-            return KeyRefused(claim.request, unknown(Code.KEY_CONFLICT, self._claim_ms), None)
+        if claim.step is KeyClaimStep.ORDER and len(claim.owners) > 1:
+            return self._ask(replace(claim, ticket=reply.ticket, step=KeyClaimStep.COPY))
+        if claim.step is KeyClaimStep.COPY and reply.ticket != claim.ticket:
+            return KeyRefused(
+                claim.request, unknown(Code.KEY_CONFLICT, self._claim_timeout_ms), None
+            )
         return KeyBound(claim.request, reply.ticket, unused)
 
     def _give_up(self, calls: list[int], now_ms: int) -> list[KeyEffect]:
-        gone = unknown(Code.KEY_OWNER_GONE, self._claim_ms)
+        gone = unknown(Code.KEY_OWNER_GONE, self._claim_timeout_ms)
         return [self._fall_back(self._claims.pop(call), gone, now_ms) for call in calls]
 
     def _fall_back(self, claim: _Claim, refusal: Outcome, now_ms: int) -> KeyEffect:
         """Ask the second owner for its copy when the first can't say, else refuse."""
-        if claim.step is not KeyStep.ORDER or len(claim.owners) == 1:
+        if claim.step is not KeyClaimStep.ORDER or len(claim.owners) == 1:
             return KeyRefused(claim.request, claim.refusal or refusal, None)
-        deadline_ms = now_ms + self._claim_ms
-        lookup = replace(claim, step=KeyStep.LOOKUP, deadline_ms=deadline_ms, refusal=refusal)
+        deadline_ms = now_ms + self._claim_timeout_ms
+        lookup = replace(claim, step=KeyClaimStep.LOOKUP, deadline_ms=deadline_ms, refusal=refusal)
         return self._ask(lookup)
--- /dev/null
+++ b/rhubarbhinge/once/_outcome_effects.py
@@ -0,0 +1,32 @@
+"""Answers to those who wait for an outcome."""
+
+from rhubarbhinge.once._effects import AnswerOutcome, ReplyForward
+from rhubarbhinge.once._outcome import Outcome
+from rhubarbhinge.once._requester import LocalRequester, Requester
+from rhubarbhinge.wire._ticket_forward_reply import TicketForwardReply
+
+
+def outcome_effect(
+    requester: Requester, ticket: str, outcome: Outcome
+) -> AnswerOutcome | ReplyForward:
+    """Make the effect that tells an outcome to who asked.
+
+    :param requester: a caller's request, or a call from another entry.
+    :param ticket: the ticket's text.
+    :param outcome: the outcome.
+    :returns: the effect.
+    """
+    if isinstance(requester, LocalRequester):
+        return AnswerOutcome(requester.request, outcome)
+    reply = TicketForwardReply(
+        requester.call,
+        requester.incarnation,
+        ticket,
+        outcome.kind.value,
+        outcome.code,
+        outcome.message,
+        outcome.todo,
+        outcome.retry_after_ms,
+        outcome.result,
+    )
+    return ReplyForward(requester.entry, reply)
--- a/rhubarbhinge/once/_asker.py
+++ b/rhubarbhinge/once/_requester.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LocalAsker:
+class LocalRequester:
     """A caller's request on this entry.
 
     :param request: number of the request at the daemon.
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerAsker:
+class PeerRequester:
     """A call from another entry.
 
     :param entry: name of the other entry.
@@ -27,4 +27,4 @@
     call: int
 
 
-Asker = LocalAsker | PeerAsker
+Requester = LocalRequester | PeerRequester
--- a/rhubarbhinge/once/_run_results.py
+++ b/rhubarbhinge/once/_run_results.py
@@ -5,15 +5,15 @@
 from rhubarbhinge.wire._run_reply import RunReply
 from rhubarbhinge.wire._run_request import RunRequest
 
-MOST_KEPT_BYTES = 8 * 1024 * 1024
+MAX_KEPT_BYTES = 8 * 1024 * 1024
 """Results kept at once; the oldest go first."""
 
 
 @dataclass(slots=True)
-class _Run:
+class _RunRecord:
     entry: str
     entry_incarnation: int
-    began_ms: int
+    started_ms: int
     reply: RunReply | None = None
 
 
@@ -27,11 +27,11 @@
     :param most_kept_bytes: results kept at once, in bytes.
     """
 
-    def __init__(self, keep_ms: int, most_kept_bytes: int = MOST_KEPT_BYTES):
+    def __init__(self, keep_ms: int, most_kept_bytes: int = MAX_KEPT_BYTES):
         self._keep_ms = keep_ms
         self._most_kept_bytes = most_kept_bytes
         self._kept_bytes = 0
-        self._runs: dict[str, _Run] = {}
+        self._runs: dict[str, _RunRecord] = {}
 
     def begin(self, request: RunRequest, now_ms: int) -> None:
         """Note a run that the relay takes.
@@ -39,8 +39,8 @@
         :param request: the message; its ticket is new here.
         :param now_ms: time on this relay's clock.
         """
-        self._forget(now_ms)
-        self._runs[request.ticket] = _Run(request.entry, request.entry_incarnation, now_ms)
+        self._remove_expired(now_ms)
+        self._runs[request.ticket] = _RunRecord(request.entry, request.entry_incarnation, now_ms)
 
     def end(self, ticket: str, kind: str, payload: bytes, retry_after_ms: int) -> RunReply:
         """Note how a run ended.
@@ -74,7 +74,7 @@
         :param request: the message.
         :returns: True while its result is still to come.
         """
-        run = self._known(request)
+        run = self._record_of(request)
         return run is not None and run.reply is None
 
     def recall(self, request: RunRequest) -> RunReply | None:
@@ -83,7 +83,7 @@
         :param request: the message.
         :returns: the reply, None when the run is new, open, or no longer kept.
         """
-        run = self._known(request)
+        run = self._record_of(request)
         return None if run is None else run.reply
 
     def open_of(self, entry: str) -> list[str]:
@@ -96,17 +96,17 @@
             ticket for ticket, run in self._runs.items() if run.entry == entry and run.reply is None
         ]
 
-    def _known(self, request: RunRequest) -> _Run | None:
+    def _record_of(self, request: RunRequest) -> _RunRecord | None:
         run = self._runs.get(request.ticket)
         sender = (request.entry, request.entry_incarnation)
         if run is None or (run.entry, run.entry_incarnation) != sender:
             return None
         return run
 
-    def _forget(self, now_ms: int) -> None:
+    def _remove_expired(self, now_ms: int) -> None:
         while self._runs:
             ticket, oldest = next(iter(self._runs.items()))
-            if now_ms < oldest.began_ms + self._keep_ms:
+            if now_ms < oldest.started_ms + self._keep_ms:
                 return
             self._drop(ticket)
 
--- a/rhubarbhinge/once/_signer.py
+++ b/rhubarbhinge/once/_signer.py
@@ -5,21 +5,21 @@
 import hmac
 import struct
 
-from rhubarbhinge.once._codes import Code
-from rhubarbhinge.once._digest import DIGEST_BYTES
-from rhubarbhinge.once._fault import TicketFault
+from rhubarbhinge.once._body_digest import DIGEST_BYTES
+from rhubarbhinge.once._invalid_ticket import InvalidTicket
+from rhubarbhinge.once._outcome_codes import Code
 from rhubarbhinge.once._ticket import Ticket
 
 MAC_BYTES = 16
 """Length of a signature; half of HMAC-SHA256's output, the least that RFC 2104 advises."""
-TEXT_MOST = 512
+MAX_TEXT_CHARS = 512
 """Longest text that is looked at, in characters."""
-NAME_MOST_BYTES = 64
+MAX_NAME_BYTES = 64
 """Longest entry name and action name in a ticket."""
-LEAST_KEY_BYTES = 16
+MIN_KEY_BYTES = 16
 """Shortest deployment key that is accepted."""
-_PURPOSE = b"rhubarbhinge ticket 1"
-_HEAD = struct.Struct(">QIQBB")
+_KEY_DERIVATION_LABEL = b"rhubarbhinge ticket 1"
+_HEADER = struct.Struct(">QIQBB")
 
 
 class Signer:
@@ -32,9 +32,9 @@
     """
 
     def __init__(self, deployment_key: bytes, entry: str, incarnation: int):
-        if len(deployment_key) < LEAST_KEY_BYTES:
-            raise ValueError(f"a deployment key has at least {LEAST_KEY_BYTES} bytes")
-        self._key = hmac.digest(deployment_key, _PURPOSE, "sha256")
+        if len(deployment_key) < MIN_KEY_BYTES:
+            raise ValueError(f"a deployment key has at least {MIN_KEY_BYTES} bytes")
+        self._key = hmac.digest(deployment_key, _KEY_DERIVATION_LABEL, "sha256")
         self.entry = entry
         self.incarnation = incarnation
 
@@ -51,7 +51,7 @@
         packed = _pack(ticket)
         return base64.urlsafe_b64encode(packed + self._mac(packed)).rstrip(b"=").decode()
 
-    def verify(self, text: str) -> Ticket | TicketFault:
+    def verify(self, text: str) -> Ticket | InvalidTicket:
         """Check form and signature; this says nothing of the ticket's owner or lifetime.
 
         :param text: what a caller showed.
@@ -59,14 +59,14 @@
         """
         data = _decode(text)
         if data is None:
-            return TicketFault(Code.MALFORMED)
+            return InvalidTicket(Code.MALFORMED)
         packed, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
         if not hmac.compare_digest(mac, self._mac(packed)):
-            return TicketFault(Code.FORGED)
+            return InvalidTicket(Code.FORGED)
         ticket = _unpack(packed)
-        return TicketFault(Code.MALFORMED) if ticket is None else ticket
+        return InvalidTicket(Code.MALFORMED) if ticket is None else ticket
 
-    def verify_own(self, text: str, now_ms: int) -> Ticket | TicketFault:
+    def verify_own(self, text: str, now_ms: int) -> Ticket | InvalidTicket:
         """Check that a ticket is this incarnation's and has not expired.
 
         Only here is the expiry compared with a clock, as only this process reads the clock that
@@ -77,11 +77,11 @@
         :returns: the ticket, or a fault.
         """
         ticket = self.verify(text)
-        if isinstance(ticket, TicketFault):
+        if isinstance(ticket, InvalidTicket):
             return ticket
         if not self.owns(ticket):
-            return TicketFault(Code.OTHER_INCARNATION)
-        return TicketFault(Code.EXPIRED) if now_ms >= ticket.expires_ms else ticket
+            return InvalidTicket(Code.OTHER_INCARNATION)
+        return InvalidTicket(Code.EXPIRED) if now_ms >= ticket.expires_ms else ticket
 
     def owns(self, ticket: Ticket) -> bool:
         """Return whether this incarnation minted a ticket.
@@ -97,24 +97,24 @@
 
 def _pack(ticket: Ticket) -> bytes:
     entry, action = ticket.entry.encode(), ticket.action.encode()
-    if max(len(entry), len(action)) > NAME_MOST_BYTES or len(ticket.digest) != DIGEST_BYTES:
+    if max(len(entry), len(action)) > MAX_NAME_BYTES or len(ticket.digest) != DIGEST_BYTES:
         raise ValueError("a ticket's name or digest has the wrong length")
-    head = _HEAD.pack(
+    head = _HEADER.pack(
         ticket.incarnation, ticket.sequence, ticket.expires_ms, len(entry), len(action)
     )
     return head + entry + action + ticket.digest
 
 
 def _unpack(packed: bytes) -> Ticket | None:
-    if len(packed) < _HEAD.size:
+    if len(packed) < _HEADER.size:
         return None
-    incarnation, sequence, expires_ms, entry_size, action_size = _HEAD.unpack_from(packed)
-    action_at = _HEAD.size + entry_size
+    incarnation, sequence, expires_ms, entry_size, action_size = _HEADER.unpack_from(packed)
+    action_at = _HEADER.size + entry_size
     digest_at = action_at + action_size
     if len(packed) != digest_at + DIGEST_BYTES:
         return None
     try:
-        entry = packed[_HEAD.size : action_at].decode()
+        entry = packed[_HEADER.size : action_at].decode()
         action = packed[action_at:digest_at].decode()
     except UnicodeDecodeError:
         return None
@@ -122,7 +122,7 @@
 
 
 def _decode(text: str) -> bytes | None:
-    if not 0 < len(text) <= TEXT_MOST or not text.isascii():
+    if not 0 < len(text) <= MAX_TEXT_CHARS or not text.isascii():
         return None
     padded = text.encode() + b"=" * (-len(text) % 4)
     try:
--- a/rhubarbhinge/once/_record.py
+++ b/rhubarbhinge/once/_ticket_record.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from rhubarbhinge.once._asker import Asker
 from rhubarbhinge.once._outcome import Outcome
+from rhubarbhinge.once._requester import Requester
 from rhubarbhinge.once._ticket import Ticket
 
 
@@ -33,5 +33,5 @@
     text: str
     state: TicketState = TicketState.MINTED
     deadline_ms: int = 0
-    waiters: list[Asker] = field(default_factory=list)
+    waiters: list[Requester] = field(default_factory=list)
     outcome: Outcome | None = None
--- a/rhubarbhinge/once/_ledger.py
+++ b/rhubarbhinge/once/_ticket_store.py
@@ -1,23 +1,23 @@
 """The tickets that one entry has minted."""
 
-from rhubarbhinge.once._answers import answer
-from rhubarbhinge.once._asker import Asker
-from rhubarbhinge.once._codes import Code, not_run, outcome, unknown
-from rhubarbhinge.once._digest import body_digest
+from rhubarbhinge.once._body_digest import body_digest
 from rhubarbhinge.once._effects import Effect, StartRun
-from rhubarbhinge.once._fault import TicketFault
+from rhubarbhinge.once._invalid_ticket import InvalidTicket
+from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind
-from rhubarbhinge.once._permit import SendPermit
-from rhubarbhinge.once._record import TicketRecord, TicketState
-from rhubarbhinge.once._settings import OnceSettings
+from rhubarbhinge.once._outcome_codes import Code, not_run, outcome, unknown
+from rhubarbhinge.once._outcome_effects import outcome_effect
+from rhubarbhinge.once._requester import Requester
+from rhubarbhinge.once._send_permit import SendPermit
 from rhubarbhinge.once._signer import Signer
 from rhubarbhinge.once._ticket import Ticket
+from rhubarbhinge.once._ticket_record import TicketRecord, TicketState
 
 NOT_STARTED_RETRY_MS = 1_000
 """Advice to a reader of an unused ticket, in ms."""
 
 
-class TicketLedger:
+class TicketStore:
     """The tickets that one entry has minted, each with its state and outcome.
 
     :param signer: mints and checks tickets under this entry's name and incarnation.
@@ -83,13 +83,13 @@
         sequence = self._next_sequence
         self._next_sequence += 1
         expires_ms = now_ms + self._settings.lifetime_ms
-        me = self._signer
-        ticket = Ticket(me.entry, me.incarnation, sequence, action, expires_ms, digest)
+        signer = self._signer
+        ticket = Ticket(signer.entry, signer.incarnation, sequence, action, expires_ms, digest)
         text = self._signer.mint(sequence, action, digest, expires_ms)
         self._records[sequence] = TicketRecord(ticket, text)
         return text
 
-    def left_ms(self, text: str, now_ms: int) -> int:
+    def remaining_ms(self, text: str, now_ms: int) -> int:
         """Tell the rest of a ticket's lifetime.
 
         :param text: the ticket's text.
@@ -99,7 +99,7 @@
         record = self._own_record(text)
         return 0 if record is None else max(0, record.ticket.expires_ms - now_ms)
 
-    def release(self, text: str) -> None:
+    def discard(self, text: str) -> None:
         """Drop a ticket that nobody has been shown.
 
         :param text: the ticket's text.
@@ -109,11 +109,11 @@
             del self._records[record.ticket.sequence]
 
     def run(
-        self, asker: Asker, ticket: Ticket, text: str, body: bytes, now_ms: int
+        self, requester: Requester, ticket: Ticket, text: str, body: bytes, now_ms: int
     ) -> list[Effect]:
         """Run a ticket of this ledger, once; a copy waits for, or reads, the same outcome.
 
-        :param asker: who waits for the outcome.
+        :param requester: who waits for the outcome.
         :param ticket: the checked ticket.
         :param text: its text.
         :param body: the caller's body.
@@ -121,18 +121,18 @@
         :returns: the effects; with ``StartRun`` the ticket is consumed already.
         """
         if body_digest(ticket.action, body) != ticket.digest:
-            return [answer(asker, text, not_run(Code.BODY_MISMATCH))]
+            return [outcome_effect(requester, text, not_run(Code.BODY_MISMATCH))]
         record = self._records.get(ticket.sequence)
         if record is None:
-            return [answer(asker, text, unknown(Code.EXPIRED))]
+            return [outcome_effect(requester, text, unknown(Code.EXPIRED))]
         if record.state is TicketState.MINTED:
-            return self._start(record, asker, text, body, now_ms)
-        return self._wait(record, asker, text)
+            return self._start(record, requester, text, body, now_ms)
+        return self._wait(record, requester, text)
 
-    def read(self, asker: Asker, ticket: Ticket, text: str, now_ms: int) -> list[Effect]:
+    def read(self, requester: Requester, ticket: Ticket, text: str, now_ms: int) -> list[Effect]:
         """Read the outcome of a ticket of this ledger.
 
-        :param asker: who waits for the outcome.
+        :param requester: who waits for the outcome.
         :param ticket: the checked ticket.
         :param text: its text.
         :param now_ms: time on this entry's clock.
@@ -140,13 +140,13 @@
         """
         record = self._records.get(ticket.sequence)
         if record is None:
-            return [answer(asker, text, unknown(Code.EXPIRED))]
+            return [outcome_effect(requester, text, unknown(Code.EXPIRED))]
         if record.state is not TicketState.MINTED:
-            return self._wait(record, asker, text)
+            return self._wait(record, requester, text)
         if now_ms >= ticket.expires_ms:
-            record.waiters.append(asker)
+            record.waiters.append(requester)
             return self._finish(record, not_run(Code.EXPIRED_UNUSED))
-        return [answer(asker, text, unknown(Code.NOT_STARTED, NOT_STARTED_RETRY_MS))]
+        return [outcome_effect(requester, text, unknown(Code.NOT_STARTED, NOT_STARTED_RETRY_MS))]
 
     def on_send(self, text: str, now_ms: int) -> SendPermit:
         """Check once more, just before the first byte of a run leaves.
@@ -205,11 +205,11 @@
             if now_ms < record.deadline_ms:
                 continue
             sent = record.state is TicketState.SENT
-            found = unknown(Code.DEADLINE) if sent else not_run(Code.LATE_SEND)
-            effects += self._finish(record, found)
+            run_outcome = unknown(Code.DEADLINE) if sent else not_run(Code.LATE_SEND)
+            effects += self._finish(record, run_outcome)
         return effects
 
-    def forget(self, now_ms: int) -> None:
+    def remove_expired(self, now_ms: int) -> None:
         """Forget the tickets whose outcome is no longer kept.
 
         :param now_ms: time on this entry's clock.
@@ -225,35 +225,35 @@
                 self._kept_bytes -= len(record.outcome.result)
 
     def _start(
-        self, record: TicketRecord, asker: Asker, text: str, body: bytes, now_ms: int
+        self, record: TicketRecord, requester: Requester, text: str, body: bytes, now_ms: int
     ) -> list[Effect]:
         if now_ms >= record.ticket.expires_ms:
-            record.waiters.append(asker)
+            record.waiters.append(requester)
             return self._finish(record, not_run(Code.EXPIRED_UNUSED))
         record.state = TicketState.CONSUMED
         record.deadline_ms = now_ms + self._settings.run_ms
-        record.waiters.append(asker)
+        record.waiters.append(requester)
         self._running.add(record.ticket.sequence)
         return [StartRun(text, record.ticket.action, body, record.deadline_ms)]
 
-    def _wait(self, record: TicketRecord, asker: Asker, text: str) -> list[Effect]:
+    def _wait(self, record: TicketRecord, requester: Requester, text: str) -> list[Effect]:
         if record.outcome is not None:
-            return [answer(asker, text, record.outcome)]
-        if asker in record.waiters:
+            return [outcome_effect(requester, text, record.outcome)]
+        if requester in record.waiters:
             return []
         if len(record.waiters) >= self._settings.most_waiters:
             late = unknown(Code.WAITERS_FULL, self._settings.run_ms)
-            return [answer(asker, text, late)]
-        record.waiters.append(asker)
+            return [outcome_effect(requester, text, late)]
+        record.waiters.append(requester)
         return []
 
-    def _finish(self, record: TicketRecord, found: Outcome) -> list[Effect]:
+    def _finish(self, record: TicketRecord, run_outcome: Outcome) -> list[Effect]:
         record.state = TicketState.DONE
-        record.outcome = found
-        self._kept_bytes += len(found.result)
+        record.outcome = run_outcome
+        self._kept_bytes += len(run_outcome.result)
         self._running.discard(record.ticket.sequence)
         waiters, record.waiters = record.waiters, []
-        return [answer(asker, record.text, found) for asker in waiters]
+        return [outcome_effect(requester, record.text, run_outcome) for requester in waiters]
 
     def _outcome_of(self, kind: OutcomeKind, payload: bytes, retry_after_ms: int) -> Outcome:
         if kind is OutcomeKind.REFUSED_NOT_RUN:
@@ -271,7 +271,7 @@
 
     def _own_record(self, text: str) -> TicketRecord | None:
         ticket = self._signer.verify(text)
-        if isinstance(ticket, TicketFault) or not self._signer.owns(ticket):
+        if isinstance(ticket, InvalidTicket) or not self._signer.owns(ticket):
             return None
         return self._records.get(ticket.sequence)
 
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -101,9 +101,9 @@
     def flush(self) -> None:
         """Deliver what is on the way, and what it leads to between entries, in order."""
         for _ in range(len(self.network) * 4):
-            self.deliver(self._first_that_passes(), False)
+            self.deliver(self._first_deliverable(), False)
 
-    def _first_that_passes(self) -> int:
+    def _first_deliverable(self) -> int:
         ends = enumerate(self.network)
         passes = (i for i, (a, b, _) in ends if (a in self.split) == (b in self.split))
         return next(passes, 0)
@@ -135,7 +135,7 @@
     def act(self, entry: str, step: Callable[[TicketBook, int], list]) -> None:
         """Take one step of a book and carry out its effects."""
         for effect in step(self.books[entry], self.clock(entry)):
-            self._carry_out(entry, effect)
+            self._apply_effect(entry, effect)
 
     def send_run(self, entry: str, relay: str) -> None:
         """Let an entry send its oldest started run, if it still may."""
@@ -144,7 +144,7 @@
         start = self.outboxes[entry].pop(0)
         permit = self.books[entry].on_send(start.ticket, self.clock(entry))
         for effect in permit.effects:
-            self._carry_out(entry, effect)
+            self._apply_effect(entry, effect)
         if not permit.send:
             return
         self.history.append(f"send {start.ticket} {relay}")
@@ -199,7 +199,7 @@
         self.requests[request] = (ticket, key, body, self.now_ms)
         return request
 
-    def _carry_out(self, entry: str, effect: object) -> None:
+    def _apply_effect(self, entry: str, effect: object) -> None:
         match effect:
             case AnswerRedirect():
                 self._redirect(effect)
--- a/rhubarbhinge/once/tests/test_book.py
+++ b/rhubarbhinge/once/tests/test_book.py
@@ -142,13 +142,13 @@
     def test_a_call_whose_link_was_lost_is_passed_on_again_and_runs_once(self):
         """Guards against a ticket told as unknown although its owner runs and has not got it."""
         asked = self.fleet.run(OTHER, self.ticket, BODY)
-        passed_on = self.fleet.network.pop()
+        forwarded = self.fleet.network.pop()
         self.fleet.act(OTHER, lambda book, now_ms: book.on_link_lost(OWNER, now_ms))
         self.assertNotIn(asked, self.fleet.answers)
         incarnation = self.book._signer.incarnation
         for _ in range(2):
             self.fleet.act(OTHER, lambda book, _: book.on_link_up(OWNER, incarnation))
-        self.assertEqual([passed_on, passed_on], self.fleet.network)
+        self.assertEqual([forwarded, forwarded], self.fleet.network)
         self.fleet.settle()
         self.assertEqual(("ran", "done"), self.code(asked))
         runs = [line for line in self.fleet.history if line.startswith("run ")]
@@ -250,8 +250,8 @@
     def test_a_delisted_owner_keeps_its_rank_for_a_window_and_a_half(self):
         self.fleet.listed = frozenset(ENTRIES) - {self.owners[0]}
         self.fleet.sleep(1)
-        memory_ms = SETTINGS.key_window_ms * 3 // 2
-        self.fleet.sleep(memory_ms - 1)
+        delisted_rank_ms = SETTINGS.key_window_ms * 3 // 2
+        self.fleet.sleep(delisted_rank_ms - 1)
         self.assertEqual("key-not-owner", self.ask(self.third).code)
         self.fleet.sleep(1)
         self.assertIsInstance(self.ask(self.third), AnswerRedirect)
@@ -292,7 +292,7 @@
 
 class GuardTest(unittest.TestCase):
     def setUp(self):
-        self.guard = RunGuard("a/relay", 5, window_ms=100, most=2)
+        self.guard = RunGuard("a/relay", 5, window_ms=100, max_tickets=2)
 
     def request(self, ticket: str, incarnation: int = 5, deadline_ms: int = 10) -> RunRequest:
         return RunRequest("a/entry", 1, "a/relay", incarnation, ticket, "order", b"", deadline_ms)
--- a/rhubarbhinge/once/tests/test_history.py
+++ b/rhubarbhinge/once/tests/test_history.py
@@ -4,7 +4,7 @@
 
 from rhubarbhinge.once import Fault, check_history
 
-GOOD = [
+VALID_HISTORY = [
     "mint t -",
     "bind t k",
     "answer t unknown",
@@ -22,7 +22,7 @@
 
 class HistoryTest(unittest.TestCase):
     def test_a_good_history_passes(self):
-        self.assertEqual([], faults([*GOOD, ""]))
+        self.assertEqual([], faults([*VALID_HISTORY, ""]))
 
     def test_planted_violations(self):
         planted = {
@@ -39,7 +39,7 @@
         self.assertEqual(set(Fault), set(planted))
         for fault, lines in planted.items():
             with self.subTest(fault):
-                self.assertEqual([fault], faults([*GOOD, *lines]))
+                self.assertEqual([fault], faults([*VALID_HISTORY, *lines]))
 
     def test_a_refusal_before_the_run_is_caught_at_the_run(self):
         lines = ["mint t -", "send t r1", "answer t refused_not_run", "run t u1"]
--- a/rhubarbhinge/once/tests/test_owner_loss.py
+++ b/rhubarbhinge/once/tests/test_owner_loss.py
@@ -24,7 +24,7 @@
                 self._lose_owner_after(number)
 
     def test_without_a_loss_the_steps_end_in_a_run(self):
-        fleet, ticket = self._play(len(STEPS))
+        fleet, ticket = self._run_steps(len(STEPS))
         self.assertEqual(f"answer {ticket} ran", fleet.history[-1])
 
     def test_incarnations_fit_a_signed_field(self):
@@ -33,7 +33,7 @@
         self.assertEqual([63], asked)
 
     def _lose_owner_after(self, number: int) -> None:
-        fleet, ticket = self._play(number)
+        fleet, ticket = self._run_steps(number)
         fleet.start_entry(OWNER, fleet.now_ms)
         copies = [fleet.run(entry, ticket, BODIES[0]) for entry in ENTRIES]
         copies += [fleet.read(entry, ticket) for entry in ENTRIES]
@@ -43,7 +43,7 @@
         runs = [line for line in fleet.history if line.startswith("run ")]
         self.assertEqual(number >= STEPS_TO_SEND, bool(runs))
 
-    def _play(self, number: int) -> tuple[Fleet, str]:
+    def _run_steps(self, number: int) -> tuple[Fleet, str]:
         fleet = Fleet()
         ticket = fleet.answers[fleet.mint(OWNER, BODIES[0], None)].ticket
         for step in STEPS[:number]:
--- a/rhubarbhinge/once/tests/test_schedules.py
+++ b/rhubarbhinge/once/tests/test_schedules.py
@@ -9,18 +9,18 @@
 
 from rhubarbhinge.once import AnswerRedirect, SendPermit, Signer, StartRun, check_history
 from rhubarbhinge.once._key_bindings import KeyBindings
-from rhubarbhinge.once._ledger import TicketLedger
-from rhubarbhinge.once._record import TicketRecord, TicketState
+from rhubarbhinge.once._ticket_record import TicketRecord, TicketState
+from rhubarbhinge.once._ticket_store import TicketStore
 from rhubarbhinge.once.tests._fakes import BODIES, ENTRIES, KEYS, RELAYS, SETTINGS, Fleet
 
-HASTY = settings(
+PROPERTY_SETTINGS = settings(
     derandomize=True,
     deadline=None,
     database=None,
     max_examples=200,
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
 )
-SEARCH = settings(HASTY, max_examples=1_000, phases=[Phase.generate])
+SEARCH_SETTINGS = settings(PROPERTY_SETTINGS, max_examples=1_000, phases=[Phase.generate])
 STEPS = ("mint", "flush") + ("run",) * 5 + ("read",) + ("send",) * 4 + ("upstream",) * 5
 STEPS += ("deliver",) * 9 + ("repeat",) * 2 + ("drop", "wait", "wait", "sleep", "tick")
 STEPS += ("restart-entry", "restart-relay", "split", "gone")
@@ -33,15 +33,15 @@
 SLEEP_MS = 60
 
 
-def play(fleet: Fleet, schedule: list[tuple[str, int, int]], keyed: bool) -> list[str]:
-    _play_step(fleet, "mint", 0, 0, keyed)
-    _play_step(fleet, "mint", 1, 1, keyed)
+def run_schedule(fleet: Fleet, schedule: list[tuple[str, int, int]], keyed: bool) -> list[str]:
+    _run_step(fleet, "mint", 0, 0, keyed)
+    _run_step(fleet, "mint", 1, 1, keyed)
     for step, first, second in schedule:
-        _play_step(fleet, step, first, second, keyed)
+        _run_step(fleet, step, first, second, keyed)
     return fleet.history
 
 
-def _play_step(fleet: Fleet, step: str, first: int, second: int, keyed: bool) -> None:
+def _run_step(fleet: Fleet, step: str, first: int, second: int, keyed: bool) -> None:
     entry = ENTRIES[first % len(ENTRIES)]
     relay = RELAYS[second % len(RELAYS)]
     match step:
@@ -84,9 +84,9 @@
     return names[number % len(names)] if names else ENTRIES[0]
 
 
-def _send_first_start(self, record, asker, text, body, now_ms):
+def _send_first_start(self, record, requester, text, body, now_ms):
     record.deadline_ms = now_ms + SETTINGS.run_ms
-    record.waiters.append(asker)
+    record.waiters.append(requester)
     return [StartRun(text, record.ticket.action, body, record.deadline_ms)]
 
 
@@ -98,9 +98,9 @@
     return SendPermit(record is not None)
 
 
-def _take_over(self, asker, ticket, text, body, now_ms):
+def _take_over(self, requester, ticket, text, body, now_ms):
     self._records.setdefault(ticket.sequence, TicketRecord(ticket, text))
-    return RUN(self, asker, ticket, text, body, now_ms)
+    return RUN(self, requester, ticket, text, body, now_ms)
 
 
 def _unchecked_permit(self, text, now_ms):
@@ -110,46 +110,48 @@
     return SendPermit(True)
 
 
-RUN = TicketLedger.run
-PLANTED = {
+RUN = TicketStore.run
+INJECTED_FAULTS = {
     "consumed after the send": [
-        mock.patch.object(TicketLedger, "_start", _send_first_start),
-        mock.patch.object(TicketLedger, "on_send", _send_first_permit),
+        mock.patch.object(TicketStore, "_start", _send_first_start),
+        mock.patch.object(TicketStore, "on_send", _send_first_permit),
     ],
     "a new incarnation takes over": [
-        mock.patch.object(TicketLedger, "run", _take_over),
+        mock.patch.object(TicketStore, "run", _take_over),
         mock.patch.object(Signer, "owns", lambda self, ticket: ticket.entry == self.entry),
     ],
-    "no check before the send": [mock.patch.object(TicketLedger, "on_send", _unchecked_permit)],
+    "no check before the send": [mock.patch.object(TicketStore, "on_send", _unchecked_permit)],
     "a young owner binds keys": [mock.patch.object(KeyBindings, "_refusal", lambda *_: None)],
 }
 
 
 class ScheduleTest(unittest.TestCase):
-    @HASTY
+    @PROPERTY_SETTINGS
     @given(SCHEDULE)
     def test_tickets(self, schedule):
-        self.assertEqual([], check_history(play(Fleet(), schedule, keyed=False)))
+        self.assertEqual([], check_history(run_schedule(Fleet(), schedule, keyed=False)))
 
-    @HASTY
+    @PROPERTY_SETTINGS
     @given(KEYED_SCHEDULE, st.booleans())
     def test_keys(self, schedule, old):
-        self.assertEqual([], check_history(play(Fleet(old=old), schedule, keyed=True)))
+        self.assertEqual([], check_history(run_schedule(Fleet(old=old), schedule, keyed=True)))
 
     def test_planted_faults_are_found(self):
-        for name, patches in PLANTED.items():
+        for name, patches in INJECTED_FAULTS.items():
             keyed = "keys" in name
             with self.subTest(name), ExitStack() as stack:
                 for patch in patches:
                     stack.enter_context(patch)
                 steps = KEYED_SCHEDULE if keyed else SCHEDULE
-                self.assertTrue(find(steps, lambda s, k=keyed: _breaks(s, k), settings=SEARCH))
+                self.assertTrue(
+                    find(steps, lambda s, k=keyed: _violates(s, k), settings=SEARCH_SETTINGS)
+                )
 
-    @HASTY
+    @PROPERTY_SETTINGS
     @given(SCHEDULE)
     def test_every_request_is_answered_once_all_deadlines_have_passed(self, schedule):
         fleet = Fleet()
-        play(fleet, [step for step in schedule if step[0] != "restart-entry"], keyed=True)
+        run_schedule(fleet, [step for step in schedule if step[0] != "restart-entry"], keyed=True)
         for _ in range(2):
             fleet.sleep(SETTINGS.forward_ms + SETTINGS.key_claim_ms)
             for entry in ENTRIES:
@@ -169,8 +171,8 @@
         self.assertEqual([], check_history(fleet.history))
 
 
-def _breaks(schedule: list[tuple[str, int, int]], keyed: bool) -> bool:
-    return bool(check_history(play(Fleet(), schedule, keyed)))
+def _violates(schedule: list[tuple[str, int, int]], keyed: bool) -> bool:
+    return bool(check_history(run_schedule(Fleet(), schedule, keyed)))
 
 
 def _shown(fleet: Fleet, request: int) -> tuple[str, bytes]:
--- a/rhubarbhinge/once/tests/test_signer.py
+++ b/rhubarbhinge/once/tests/test_signer.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.once import Code, Signer, Ticket, TicketFault, body_digest
+from rhubarbhinge.once import Code, InvalidTicket, Signer, Ticket, body_digest
 
 KEY = b"0123456789abcdef"
 DIGEST = body_digest("parts-order", b"{}")
@@ -24,11 +24,11 @@
 
     def test_faults(self):
         text = signer().mint(3, "parts-order", DIGEST, 5_000)
-        self.assertEqual(TicketFault(Code.EXPIRED), signer().verify_own(text, 5_000))
-        self.assertEqual(TicketFault(Code.OTHER_INCARNATION), signer(8).verify_own(text, 0))
-        self.assertEqual(TicketFault(Code.FORGED), signer(key=KEY[::-1]).verify(text))
+        self.assertEqual(InvalidTicket(Code.EXPIRED), signer().verify_own(text, 5_000))
+        self.assertEqual(InvalidTicket(Code.OTHER_INCARNATION), signer(8).verify_own(text, 0))
+        self.assertEqual(InvalidTicket(Code.FORGED), signer(key=KEY[::-1]).verify(text))
         for bad in ("", "a", text + "=", text + "!", "x" * 600, "\u00e9"):
-            self.assertEqual(TicketFault(Code.MALFORMED), signer().verify(bad))
+            self.assertEqual(InvalidTicket(Code.MALFORMED), signer().verify(bad))
 
     @settings(derandomize=True, deadline=None, database=None)
     @given(st.data())
@@ -37,7 +37,7 @@
         at = data.draw(st.integers(0, len(text) - 1))
         other = data.draw(st.characters(codec="ascii").filter(lambda c: c != text[at]))
         changed = text[:at] + other + text[at + 1 :]
-        self.assertIsInstance(signer().verify(changed), TicketFault)
+        self.assertIsInstance(signer().verify(changed), InvalidTicket)
 
     def test_digest_binds_action_and_body(self):
         self.assertNotEqual(body_digest("a", b"bc"), body_digest("ab", b"c"))
--- a/rhubarbhinge/query/__init__.py
+++ b/rhubarbhinge/query/__init__.py
@@ -22,6 +22,7 @@
     "Effect",
     "ExtraLoadBudget",
     "Gap",
+    "KeyRange",
     "LatencyHistogram",
     "Missing",
     "Plan",
@@ -34,7 +35,6 @@
     "SendBatch",
     "SendCancel",
     "Shortfall",
-    "KeyRange",
     "all_answers",
     "select_ranges",
 ]
