--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -1,4 +1,4 @@
-"""Tickets for requests that must not repeat."""
+"""At-most-once execution of requests by tickets and idempotency keys."""
 
 from rhubarbhinge.once._body_digest import body_digest
 from rhubarbhinge.once._book import TicketBook
--- a/rhubarbhinge/once/_body_digest.py
+++ b/rhubarbhinge/once/_body_digest.py
@@ -1,9 +1,9 @@
-"""The digest that binds a ticket to one request."""
+"""Digest that binds a ticket to one action and body."""
 
 import hashlib
 
 DIGEST_BYTES = 16
-"""Length of a body digest; 128 bits of SHA-256."""
+"""Length of a body digest: SHA-256 truncated to 128 bits."""
 
 
 def body_digest(action: str, body: bytes) -> bytes:
--- a/rhubarbhinge/once/_book.py
+++ b/rhubarbhinge/once/_book.py
@@ -1,4 +1,4 @@
-"""The book of one entry's tickets."""
+"""The tickets of one entry: minting, runs, reads and forwarding to other entries."""
 
 from rhubarbhinge.once._body_digest import body_digest
 from rhubarbhinge.once._drain_report import DrainReport
@@ -29,11 +29,13 @@
 
 
 class TicketBook:
-    """The book of one entry's tickets; without it none of them can be run.
+    """The tickets of one entry, without I/O: methods return the effects to carry out.
 
-    :param signer: mints and checks tickets under this entry's name and incarnation.
-    :param keys: the book of idempotency keys.
-    :param settings: bounds.
+    Its state is not persisted: no later process can run the tickets minted here.
+
+    :param signer: mints and verifies tickets under this entry's name and incarnation.
+    :param keys: the service for idempotency keys.
+    :param settings: limits.
     """
 
     def __init__(self, signer: Signer, keys: KeyBook, settings: OnceSettings):
@@ -46,23 +48,23 @@
 
     @property
     def held(self) -> int:
-        """Return how many tickets are held.
+        """Return the number of tickets held.
 
-        :returns: the number of records, of any state.
+        :returns: the number of records in any state.
         """
         return len(self._ticket_store)
 
     def on_mint(
         self, request: int, action: str, body: bytes, key: str | None, now_ms: int
     ) -> list[Effect]:
-        """Take a request without a ticket; it doesn't run yet.
+        """Handle a request without a ticket, which is not run yet.
 
-        A refusal of a request with a key is ``unknown``: it may have run before under its key.
+        A refusal of a request with a key is ``unknown``, as it may have run earlier under its key.
 
         :param request: number of the caller's request.
         :param action: name of the action.
         :param body: the caller's body.
-        :param key: the tenant's name and the caller's key, if one was given.
+        :param key: the workspace's name and the caller's key, if one was given.
         :param now_ms: time on this entry's clock.
         :returns: a redirect, a refusal, or a claim of the key.
         """
@@ -80,7 +82,7 @@
         return self._apply_key_effects(self._keys.start(request, key, digest, text, now_ms), now_ms)
 
     def on_run(self, request: int, text: str, body: bytes, now_ms: int) -> list[Effect]:
-        """Take a request with a ticket: run it here once, or ask its owner.
+        """Handle a request with a ticket: run it once, or forward it to the ticket's owner.
 
         :param request: number of the caller's request.
         :param text: the ticket's text.
@@ -91,7 +93,7 @@
         return self._handle_ticket(request, text, body, False, now_ms)
 
     def on_read(self, request: int, text: str, now_ms: int) -> list[Effect]:
-        """Take a read of a ticket's outcome; it never runs the ticket.
+        """Handle a read of a ticket's outcome, which never runs the ticket.
 
         :param request: number of the caller's request.
         :param text: the ticket's text.
@@ -101,7 +103,7 @@
         return self._handle_ticket(request, text, b"", True, now_ms)
 
     def on_forwarded(self, message: TicketForward, now_ms: int) -> list[Effect]:
-        """Take a run or a read that another entry passed on.
+        """Handle a run or a read forwarded by another entry.
 
         :param message: the message.
         :param now_ms: time on this entry's clock.
@@ -120,11 +122,11 @@
         )
 
     def on_forward_result(self, reply: TicketForwardReply, now_ms: int) -> list[Effect]:
-        """Take the owner's answer to a forwarded ticket.
+        """Handle the owner's reply to a forwarded ticket.
 
         :param reply: the message.
         :param now_ms: time on this entry's clock.
-        :returns: the effects; none if the call is over or is not ours.
+        :returns: the effects; none if the call is closed or belongs to another incarnation.
         """
         kind = kind_of(reply.kind)
         if reply.to_incarnation != self._signer.incarnation or kind is None:
@@ -138,37 +140,37 @@
         return [AnswerOutcome(pending.request, outcome)]
 
     def on_send(self, text: str, now_ms: int) -> SendPermit:
-        """Check once more, just before the first byte of a run leaves.
+        """Return whether a run may be sent, immediately before its first byte is sent.
 
-        A process that was frozen after ``StartRun`` finds its ticket expired or its run past its
-        deadline here; then nothing is sent, and the outcome is known to be not run.
+        This detects that the process was suspended after ``StartRun`` until the ticket expired or
+        the run's deadline passed. Nothing is sent then, and the run is known not to have run.
 
         :param text: the ticket's text.
         :param now_ms: time on this entry's clock, read after everything that can block.
-        :returns: whether to send; True at most once for a ticket.
+        :returns: the permit; it allows sending at most once for a ticket.
         """
         return self._ticket_store.on_send(text, now_ms)
 
     def on_upstream(
         self, text: str, kind: OutcomeKind, payload: bytes, retry_after_ms: int, now_ms: int
     ) -> list[Effect]:
-        """Take what came of a run.
+        """Handle the outcome of a run.
 
-        ``refused_not_run`` is for two cases only: nothing was sent, or the upstream refused in so
-        many words. Everything else but an answer is ``unknown``, and so is a refusal that comes
-        after the run's deadline: a relay's guard may then have forgotten that it sent the ticket.
+        ``refused_not_run`` is for two cases only: nothing was sent, or the upstream refused
+        explicitly. Everything else except an answer is ``unknown``. So is a refusal after the run's
+        deadline, as the relay may by then have forgotten that it sent the ticket.
 
         :param text: the ticket's text.
-        :param kind: what is known.
+        :param kind: what is known of the run.
         :param payload: the upstream's result, when it ran.
-        :param retry_after_ms: the upstream's advice, when it refused.
+        :param retry_after_ms: the retry delay that the upstream asked for, when it refused.
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
         return self._ticket_store.on_upstream(text, kind, payload, retry_after_ms, now_ms)
 
     def on_peer_gone(self, entry: str, incarnation: int, now_ms: int) -> list[Effect]:
-        """Answer what was asked of an entry that can't be reached.
+        """Fail the pending calls to an entry that is unreachable.
 
         :param entry: name of that entry.
         :param incarnation: its incarnation.
@@ -180,7 +182,7 @@
         return effects + self.on_link_lost(entry, now_ms)
 
     def on_link_lost(self, entry: str, now_ms: int) -> list[Effect]:
-        """End the claims of keys at an entry whose link is lost; forwarded tickets wait for it.
+        """Fail the key claims at an entry whose link is lost; forwarded tickets stay pending.
 
         :param entry: name of that entry.
         :param now_ms: time on this entry's clock.
@@ -189,26 +191,26 @@
         return self._apply_key_effects(self._keys.on_peer_gone(entry, now_ms), now_ms)
 
     def owners_asked(self) -> set[tuple[str, int]]:
-        """Return the entries that were passed tickets and have not answered.
+        """Return the entries with pending forwarded tickets.
 
         :returns: names and incarnations.
         """
         return self._forwards.owners()
 
     def on_link_up(self, entry: str, incarnation: int) -> list[Effect]:
-        """Pass on again what an entry may not have got before its link was lost.
+        """Resend the pending calls that an entry may not have received before its link was lost.
 
-        The entry runs a ticket once, however often it is passed on.
+        The entry runs a ticket once, however often it is forwarded.
 
         :param entry: name of that entry.
         :param incarnation: its incarnation.
-        :returns: the calls that have no answer.
+        :returns: the messages of the pending calls.
         """
         pending_by_call = self._forwards.of_owner(entry, incarnation)
         return [self._forward_effect(call, each) for call, each in pending_by_call.items()]
 
     def on_key_claim(self, claim: KeyClaim, now_ms: int) -> KeyClaimReply:
-        """Answer a claim of a key that this entry is an owner of.
+        """Handle a claim of a key that this entry owns.
 
         :param claim: the message.
         :param now_ms: time on this entry's clock.
@@ -217,7 +219,7 @@
         return self._keys.on_claim(claim, now_ms)
 
     def on_key_reply(self, reply: KeyClaimReply, now_ms: int) -> list[Effect]:
-        """Take the answer of an owner of a key.
+        """Handle the reply of an owner of a key.
 
         :param reply: the message.
         :param now_ms: time on this entry's clock.
@@ -226,7 +228,7 @@
         return self._apply_key_effects(self._keys.on_reply(reply, now_ms), now_ms)
 
     def tick(self, now_ms: int) -> list[Effect]:
-        """End what is past its time.
+        """Fail overdue runs, calls and claims, and remove expired records.
 
         :param now_ms: time on this entry's clock.
         :returns: the effects.
@@ -238,10 +240,10 @@
         return effects
 
     def drain(self, now_ms: int) -> DrainReport:
-        """Stop minting; tickets that are out can still be run and read.
+        """Stop minting; existing tickets can still be run and read.
 
         :param now_ms: time on this entry's clock.
-        :returns: what is still open.
+        :returns: the tickets, runs and calls that are still open.
         """
         self._draining = True
         ends_ms = max(self._ticket_store.open_until_ms(now_ms), self._forwards.last_deadline_ms)
--- a/rhubarbhinge/once/_drain_report.py
+++ b/rhubarbhinge/once/_drain_report.py
@@ -1,16 +1,16 @@
-"""What a book still holds open when it stops minting."""
+"""Report on the open work of an entry that stops minting."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class DrainReport:
-    """What a book still holds open when it stops minting.
+    """Open tickets, runs and calls of an entry when it stops minting.
 
-    :param unused: tickets that have neither expired nor been used.
-    :param running: tickets that are consumed and have no outcome yet.
-    :param forwards: calls to other entries without a reply.
-    :param open_ms: time until the last of them is over at the latest, in ms from now.
+    :param unused: number of tickets that have neither expired nor been used.
+    :param running: number of tickets that are consumed and have no outcome yet.
+    :param forwards: number of calls to other entries without a reply.
+    :param open_ms: upper bound of the time until all of them are over, in ms.
     """
 
     unused: int
--- a/rhubarbhinge/once/_effects.py
+++ b/rhubarbhinge/once/_effects.py
@@ -1,4 +1,4 @@
-"""What a daemon has to do for the books; each is plain data."""
+"""Effects that the daemon carries out, as plain data."""
 
 from dataclasses import dataclass
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerRedirect:
-    """Answer a caller with 307 to ``/v1/run/<ticket>``; nothing has run.
+    """Answer a caller with a 307 redirect to ``/v1/run/<ticket>``; nothing has run.
 
     :param request: number of the request.
     :param ticket: the ticket's text.
-    :param expires_in_ms: rest of the ticket's lifetime; 0 if another entry's clock decides.
+    :param expires_in_ms: remaining lifetime of the ticket; 0 if the ticket is another entry's.
     """
 
     request: int
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Send a ticket to one relay; it is marked consumed already.
+    """Send a ticket, which is already marked as consumed, to one relay.
 
-    Just before the first byte leaves, the daemon asks ``TicketBook.on_send``.
+    The daemon must call ``TicketBook.on_send`` immediately before it sends the first byte.
 
     :param ticket: the ticket's text.
     :param action: name of the action.
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Send a ticket to the entry that minted it.
+    """Forward a ticket to the entry that minted it.
 
     :param request: number of the caller's request.
     :param owner: name of that entry.
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyForward:
-    """Answer another entry.
+    """Reply to a forwarded ticket.
 
     :param entry: name of that entry.
     :param message: the message.
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendClaim:
-    """Send a claim of a key to one of its owners, which may be this entry itself.
+    """Send a key claim to one of the key's owners, which may be this entry itself.
 
     :param entry: name of the owner.
     :param message: the message.
--- a/rhubarbhinge/once/_forwards.py
+++ b/rhubarbhinge/once/_forwards.py
@@ -1,19 +1,19 @@
-"""Calls to other entries that have no reply yet."""
+"""Pending calls to other entries for forwarded tickets."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class PendingForward:
-    """A call to another entry.
+    """A pending call to another entry.
 
     :param request: number of the caller's request.
     :param owner: name of the other entry.
     :param owner_incarnation: its incarnation.
     :param ticket: the ticket's text.
     :param body: the caller's body.
-    :param read: whether only the outcome is read.
-    :param deadline_ms: when the call is given up, on this entry's clock.
+    :param read: whether the call reads the outcome only.
+    :param deadline_ms: time at which the call fails, on this entry's clock.
     """
 
     request: int
@@ -26,9 +26,9 @@
 
 
 class ForwardTable:
-    """Calls to other entries that have no reply yet.
+    """Pending calls to other entries, by number.
 
-    :param max_calls: calls at once.
+    :param max_calls: maximum number of concurrent calls.
     """
 
     def __init__(self, max_calls: int):
@@ -41,17 +41,17 @@
 
     @property
     def is_full(self) -> bool:
-        """Return whether no more calls can be opened.
+        """Return whether the maximum number of calls is pending.
 
-        :returns: True if so.
+        :returns: True when no further call can be opened.
         """
         return len(self._pending) >= self._max_calls
 
     @property
     def last_deadline_ms(self) -> int:
-        """Return when the last open call is given up.
+        """Return the latest deadline of the pending calls.
 
-        :returns: the time on this entry's clock; 0 if none is open.
+        :returns: time on this entry's clock; 0 if no call is pending.
         """
         return max((p.deadline_ms for p in self._pending.values()), default=0)
 
@@ -59,7 +59,7 @@
         """Open a call.
 
         :param pending: the call.
-        :returns: its number, which isn't used again.
+        :returns: its number, which is not reused.
         """
         call = self._next_call
         self._next_call += 1
@@ -67,14 +67,14 @@
         return call
 
     def owners(self) -> set[tuple[str, int]]:
-        """Return the processes that are asked.
+        """Return the processes with pending calls.
 
         :returns: names and incarnations.
         """
         return {(pending.owner, pending.owner_incarnation) for pending in self._pending.values()}
 
     def of_owner(self, owner: str, incarnation: int) -> dict[int, PendingForward]:
-        """Return the open calls to one process.
+        """Return the pending calls to one process.
 
         :param owner: name of the entry.
         :param incarnation: its incarnation.
@@ -84,11 +84,11 @@
         return {c: p for c, p in self._pending.items() if (p.owner, p.owner_incarnation) == wanted}
 
     def close(self, call: int, ticket: str) -> PendingForward | None:
-        """Close a call that was answered.
+        """Close a call that has been answered.
 
         :param call: its number.
-        :param ticket: the ticket that the answer is about.
-        :returns: the call; None if it isn't open or was about another ticket.
+        :param ticket: the ticket of the reply.
+        :returns: the call; None if it is not pending or is for another ticket.
         """
         pending = self._pending.get(call)
         if pending is None or pending.ticket != ticket:
@@ -105,7 +105,7 @@
         return [self._pending.pop(call) for call in self.of_owner(owner, incarnation)]
 
     def close_late(self, now_ms: int) -> list[PendingForward]:
-        """Close all calls that are past their deadline.
+        """Close all calls whose deadline has passed.
 
         :param now_ms: time on this entry's clock.
         :returns: the calls.
--- a/rhubarbhinge/once/_guard.py
+++ b/rhubarbhinge/once/_guard.py
@@ -1,4 +1,4 @@
-"""The relay's own check that it sends a ticket once."""
+"""A relay's check that it sends each ticket at most once."""
 
 from dataclasses import dataclass
 
@@ -16,15 +16,15 @@
 
 
 class RunGuard:
-    """Remembers the tickets that a relay was given, and refuses a second sight of one.
+    """Remembers the tickets that a relay has received, and refuses duplicates.
 
-    A restarted relay knows nothing of earlier tickets. So an entry sends a ticket to one relay,
-    once, and the message names the relay's incarnation, which a restart changes.
+    A restarted relay has no record of earlier tickets. An entry therefore sends a ticket to one
+    relay only, and the message names the relay's incarnation, which a restart changes.
 
     :param relay: name of this relay.
     :param incarnation: its incarnation.
     :param window_ms: how long a ticket is remembered; at least the lifetime of a ticket and a run.
-    :param max_tickets: tickets remembered at once; one more is refused as not run.
+    :param max_tickets: maximum number of remembered tickets; one more is refused as not run.
     """
 
     def __init__(self, relay: str, incarnation: int, window_ms: int, max_tickets: int):
@@ -35,11 +35,11 @@
         self._seen: dict[str, _SeenTicket] = {}
 
     def on_request(self, request: RunRequest, now_ms: int) -> RunReply | None:
-        """Take a run from an entry.
+        """Handle a run request from an entry.
 
         :param request: the message.
         :param now_ms: time on this relay's clock.
-        :returns: None to go on to ``may_send``, else the reply to send back.
+        :returns: None to proceed to ``may_send``, else the reply to send back.
         """
         self._remove_expired(now_ms)
         if (request.relay, request.relay_incarnation) != (self._relay, self._incarnation):
@@ -56,11 +56,11 @@
         return None
 
     def may_send(self, request: RunRequest, now_ms: int) -> RunReply | None:
-        """Check once more, just before the first byte to the upstream leaves.
+        """Check a run again, immediately before the first byte is sent to the upstream.
 
         :param request: the message.
         :param now_ms: time on this relay's clock, read after everything that can block.
-        :returns: None to send, else the reply to send back; nothing has been sent then.
+        :returns: None to send, else the reply to send back instead.
         """
         seen = self._seen.get(request.ticket)
         if seen is None or seen.sent:
@@ -71,9 +71,9 @@
         return None
 
     def withdraw(self, ticket: str) -> None:
-        """Forget a ticket that was given up unsent, so that it may be given again.
+        """Forget a ticket whose run was abandoned unsent, so that the relay accepts it again.
 
-        :param ticket: the ticket's text; its run must never be sent.
+        :param ticket: the ticket's text; the abandoned run must never be sent.
         """
         self._seen.pop(ticket, None)
 
--- a/rhubarbhinge/once/_history.py
+++ b/rhubarbhinge/once/_history.py
@@ -1,14 +1,14 @@
-"""Checks the history of concurrent runs against the promises for tickets and keys.
+"""Checker of histories of concurrent runs against the guarantees for tickets and keys.
 
-A history is text, one event a line, in the order in which the events happened:
+A history is text, one event per line, in the order of occurrence:
 
 * ``mint TICKET -``: an entry minted a ticket;
-* ``send TICKET RELAY``: its entry sent it to a relay;
+* ``send TICKET RELAY``: the entry sent it to a relay;
 * ``run TICKET UPSTREAM``: an upstream ran it;
-* ``answer TICKET KIND``: a caller was told its outcome;
-* ``bind TICKET KEY``: a caller was shown this ticket for its key, within one window.
+* ``answer TICKET KIND``: a caller received its outcome;
+* ``bind TICKET KEY``: a caller received this ticket for its key, within one window.
 
-An answer that is about a body, such as ``body-mismatch``, isn't about the ticket and isn't written.
+Answers that concern a body rather than the ticket, such as ``body-mismatch``, are not recorded.
 """
 
 from collections.abc import Iterable
@@ -32,8 +32,8 @@
 def check_history(lines: Iterable[str]) -> list[Violation]:
     """Check a history.
 
-    :param lines: the events, oldest first; empty lines are passed over.
-    :returns: every violation, in the order of the lines; empty if all promises held.
+    :param lines: the events, oldest first; empty lines are skipped.
+    :returns: all violations in the order of the lines; empty if all guarantees held.
     """
     state = _HistoryState()
     violations: list[Violation] = []
--- a/rhubarbhinge/once/_invalid_ticket.py
+++ b/rhubarbhinge/once/_invalid_ticket.py
@@ -1,4 +1,4 @@
-"""Why a text isn't a usable ticket."""
+"""Result of verifying a text that is not a usable ticket."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidTicket:
-    """Why a text isn't a usable ticket.
+    """A text that is not a usable ticket.
 
     :param code: ``ticket-malformed``, ``ticket-forged``, ``ticket-expired`` or
         ``ticket-other-incarnation``.
--- a/rhubarbhinge/once/_key_bindings.py
+++ b/rhubarbhinge/once/_key_bindings.py
@@ -1,4 +1,4 @@
-"""The keys that an entry is an owner of."""
+"""Bindings of the idempotency keys that an entry owns."""
 
 from dataclasses import dataclass, replace
 
@@ -19,12 +19,12 @@
 
 
 class KeyBindings:
-    """The keys that an entry is an owner of, and the ticket that each is bound to.
+    """The idempotency keys that an entry owns, and the ticket that each is bound to.
 
-    A binding is kept for the window after the last claim of its key.
+    A binding is kept for the key window after the last claim of its key.
 
     :param entry: name of this entry.
-    :param settings: bounds.
+    :param settings: limits.
     :param started_ms: start of this process on its own clock.
     :param owners: the ranking of entries.
     """
@@ -37,7 +37,7 @@
         self._bindings: dict[str, _Binding] = {}
 
     def on_claim(self, claim: KeyClaim, now_ms: int) -> KeyClaimReply:
-        """Answer a claim.
+        """Handle a claim of a key.
 
         :param claim: the message.
         :param now_ms: time on this entry's clock.
@@ -54,7 +54,7 @@
         return self._bind(claim, binding, now_ms)
 
     def remove_expired(self, now_ms: int) -> None:
-        """Forget the bindings whose window is over.
+        """Remove the bindings whose window has passed.
 
         :param now_ms: time on this entry's clock.
         """
--- a/rhubarbhinge/once/_key_owners.py
+++ b/rhubarbhinge/once/_key_owners.py
@@ -1,27 +1,28 @@
-"""Which entries own an idempotency key."""
+"""Owners of idempotency keys by rendezvous hashing."""
 
 import hashlib
 
 OWNERS_PER_KEY = 2
-"""Owners of a key: one orders the claims, the other keeps a copy."""
+"""Owners of a key: the first orders the claims, the second keeps a copy."""
 MAX_LIST_AGE_SHARE = 0.25
-"""Oldest list of entries that is used, as a share of the window."""
+"""Maximum age of the list of entries, as a fraction of the key window."""
 DELISTED_RANK_SHARE = 1.5
-"""Time over which a delisted entry keeps its rank, as a share of the window.
+"""Time for which a delisted entry keeps its rank, as a fraction of the key window.
 
-A cut-off owner may bind keys until its list is too old; the entries that take its place must begin
-a window after that, and a quarter of a window is left for lists that differ.
+A partitioned owner may bind keys until its list is too old, for a quarter of the window. Its
+successors must not start before another window has passed, and another quarter allows for lists
+that differ between entries.
 """
 _SCORE_BYTES = 8
 
 
 class KeyOwners:
-    """Ranks the entries that could know a key: listed now, or delisted not long ago.
+    """Ranks the entries that may hold a key: listed now, or delisted recently.
 
-    The rank follows the platform's list of VMs, not liveness: an entry that is only out of reach
-    keeps its place, so that no other grants anew what it may have granted.
+    The rank depends on the platform's list of VMs, not on liveness: an unreachable entry keeps its
+    rank, so that no other entry binds a key again that it may have bound.
 
-    :param window_ms: the window.
+    :param window_ms: the key window.
     """
 
     def __init__(self, window_ms: int):
@@ -32,9 +33,9 @@
         self._confirmed_ms: int | None = None
 
     def on_entries(self, listed: frozenset[str], confirmed_ms: int, now_ms: int) -> None:
-        """Take the entries that the list names.
+        """Update the listed entries.
 
-        :param listed: names of the entries, with this one.
+        :param listed: names of the entries, including this one.
         :param confirmed_ms: when the list was last confirmed, on this entry's clock.
         :param now_ms: time on this entry's clock.
         """
@@ -50,29 +51,29 @@
         }
 
     def is_current(self, now_ms: int) -> bool:
-        """Return whether the list is young enough to be used.
+        """Return whether the list is recent enough to be used.
 
         :param now_ms: time on this entry's clock.
-        :returns: False if there is no list, or it was confirmed too long ago.
+        :returns: False if there is no list, or it was last confirmed too long ago.
         """
         if self._confirmed_ms is None:
             return False
         return now_ms - self._confirmed_ms < self._list_age_ms
 
     def is_listed(self, name: str) -> bool:
-        """Return whether the list names an entry now.
+        """Return whether an entry is listed at present.
 
         :param name: name of the entry.
-        :returns: True if so.
+        :returns: True if the current list contains it.
         """
         return name in self._listed
 
     def owners(self, key: str, now_ms: int) -> tuple[str, ...]:
-        """Name the owners of a key, the one that orders the claims first.
+        """Return the owners of a key, starting with the one that orders its claims.
 
         :param key: the key.
         :param now_ms: time on this entry's clock.
-        :returns: the names; fewer than two in a smaller domain.
+        :returns: the names; fewer than two if there are fewer entries.
         """
         recent = {n for n, ms in self._delisted_ms.items() if now_ms < ms + self.delisted_rank_ms}
         ranked = sorted(self._listed | recent, key=lambda name: _score(key, name), reverse=True)
--- a/rhubarbhinge/once/_key_reply_code.py
+++ b/rhubarbhinge/once/_key_reply_code.py
@@ -4,7 +4,7 @@
 
 
 class KeyReplyCode(StrEnum):
-    """What an owner of a key holds, or why it doesn't say."""
+    """Whether an owner of a key holds a binding for it, or why it refuses the claim."""
 
     HELD = "held"
     NOT_HELD = "not-held"
--- a/rhubarbhinge/once/_key_results.py
+++ b/rhubarbhinge/once/_key_results.py
@@ -1,4 +1,4 @@
-"""What comes of a claim of an idempotency key."""
+"""Results of claims of idempotency keys."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyBound:
-    """Both owners hold the key for one ticket.
+    """The key is bound to a ticket.
 
     :param request: number of the caller's request.
     :param ticket: text of that ticket, which another entry may have minted.
-    :param unused: text of the proposed ticket, if no owner has taken it.
+    :param unused: text of the proposed ticket, if the key is bound to another one.
     """
 
     request: int
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRefused:
-    """The key could not be bound, or not to this request.
+    """The key could not be bound, or is bound to another request.
 
     :param request: number of the caller's request.
-    :param outcome: the answer.
-    :param unused: text of the proposed ticket, if no owner has taken it.
+    :param outcome: the answer to the caller.
+    :param unused: text of the proposed ticket, if no owner can have bound the key to it.
     """
 
     request: int
--- a/rhubarbhinge/once/_keybook.py
+++ b/rhubarbhinge/once/_keybook.py
@@ -1,4 +1,4 @@
-"""The book of idempotency keys: claims made here, and keys owned here."""
+"""Idempotency keys: claims made by this entry, and keys owned by it."""
 
 from dataclasses import dataclass, replace
 
@@ -41,15 +41,15 @@
 
 
 class KeyBook:
-    """The book of idempotency keys: claims made here, and keys owned here.
+    """Idempotency keys: claims made by this entry, and keys owned by it.
 
-    A claim goes to the first owner, which orders claims of the same key, and then, with the ticket
-    that the first one holds, to the second. A ticket is shown for a key only if both hold it, or if
-    the first can't say and the second holds a copy that the first had named.
+    A claim is sent to the first owner, which orders the claims of a key, and then, with the ticket
+    that the first owner holds, to the second. A ticket is returned for a key only if both owners
+    hold it, or if the first cannot answer and the second holds a copy confirmed by the first.
 
     :param entry: name of this entry.
     :param incarnation: its incarnation.
-    :param settings: bounds.
+    :param settings: limits.
     :param started_ms: start of this process on its own clock.
     """
 
@@ -63,9 +63,9 @@
         self._next_call = 0
 
     def on_entries(self, listed: frozenset[str], confirmed_ms: int, now_ms: int) -> None:
-        """Take the entries that the list of VMs names, on each change and each confirmation.
+        """Update the entries on the list of VMs, on each change and each confirmation.
 
-        :param listed: their names, with this one.
+        :param listed: their names, including this one.
         :param confirmed_ms: when the list was last confirmed, on this entry's clock.
         :param now_ms: time on this entry's clock.
         """
@@ -74,10 +74,10 @@
     def start(
         self, request: int, key: str, digest: bytes, ticket: str, now_ms: int
     ) -> list[KeyEffect]:
-        """Claim a key for a ticket that nobody has been shown yet.
+        """Claim a key for a ticket that has not been returned to any caller yet.
 
         :param request: number of the caller's request.
-        :param key: the tenant's name and the caller's key.
+        :param key: the workspace's name and the caller's key.
         :param digest: digest of the action and the body.
         :param ticket: text of the ticket.
         :param now_ms: time on this entry's clock.
@@ -94,7 +94,7 @@
         return [self._ask(claim)]
 
     def on_claim(self, claim: KeyClaim, now_ms: int) -> KeyClaimReply:
-        """Answer a claim as an owner of the key.
+        """Handle a claim as an owner of the key.
 
         :param claim: the message.
         :param now_ms: time on this entry's clock.
@@ -103,11 +103,11 @@
         return self._bindings.on_claim(claim, now_ms)
 
     def on_reply(self, reply: KeyClaimReply, now_ms: int) -> list[KeyEffect]:
-        """Take the answer of an owner of a key.
+        """Handle the reply of an owner of a key.
 
         :param reply: the message.
         :param now_ms: time on this entry's clock.
-        :returns: the effects; none if the claim is over or is not ours.
+        :returns: the effects; none if the claim is closed or belongs to another incarnation.
         """
         claim = self._claims.get(reply.call)
         if claim is None or reply.to_incarnation != self._incarnation:
@@ -125,7 +125,7 @@
         return [self._on_held(claim, reply)]
 
     def on_peer_gone(self, entry: str, now_ms: int) -> list[KeyEffect]:
-        """End the claims that wait for an entry that can't be reached.
+        """Fail the claims that wait for an unreachable entry, or fall back to the second owner.
 
         :param entry: its name.
         :param now_ms: time on this entry's clock.
@@ -136,7 +136,7 @@
         )
 
     def tick(self, now_ms: int) -> list[KeyEffect]:
-        """End the claims that have waited too long, and forget old keys.
+        """Fail the overdue claims, or fall back to the second owner, and remove expired bindings.
 
         :param now_ms: time on this entry's clock.
         :returns: the effects.
@@ -178,7 +178,7 @@
         return [self._fall_back(self._claims.pop(call), gone, now_ms) for call in calls]
 
     def _fall_back(self, claim: _Claim, refusal: Outcome, now_ms: int) -> KeyEffect:
-        """Ask the second owner for its copy when the first can't say, else refuse."""
+        """Look up the second owner's copy if the first owner cannot answer, else refuse."""
         if claim.step is not KeyClaimStep.ORDER or len(claim.owners) == 1:
             return KeyRefused(claim.request, claim.refusal or refusal, None)
         deadline_ms = now_ms + self._claim_timeout_ms
--- a/rhubarbhinge/once/_once_settings.py
+++ b/rhubarbhinge/once/_once_settings.py
@@ -1,25 +1,27 @@
-"""Bounds of the books of tickets and keys."""
+"""Limits of tickets, runs and idempotency keys."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class OnceSettings:
-    """Bounds of the books of tickets and keys.
+    """Limits of tickets, runs and idempotency keys.
 
-    :param lifetime_ms: how long a ticket can be used, from its minting.
-    :param keep_ms: how long a ticket's outcome is kept after its expiry.
-    :param run_ms: longest time of a run, from its start to its outcome.
-    :param forward_ms: how long another entry is waited for; longer than ``run_ms``.
-    :param most_tickets: tickets held at once; one more is refused.
-    :param most_forwards: calls to other entries at once; one more is answered as unknown.
-    :param most_waiters: requests that wait for one run at once.
-    :param most_result_bytes: longest result that is kept.
-    :param most_kept_bytes: all results that are kept at once.
-    :param key_window_ms: time over which a key stays bound; not below ``lifetime_ms``.
-    :param key_claim_ms: how long an owner of a key is waited for.
-    :param most_keys: keys held at once as an owner.
-    :raises ValueError: if a bound contradicts another.
+    :param lifetime_ms: time from minting for which a ticket can be used.
+    :param keep_ms: time for which a ticket's outcome is kept after its expiry.
+    :param run_ms: maximum duration of a run, from its start to its outcome.
+    :param forward_ms: timeout of calls to other entries; must be longer than ``run_ms``.
+    :param most_tickets: maximum number of tickets held; one more is refused.
+    :param most_forwards: maximum number of concurrent calls to other entries; the outcome of one
+        more is ``unknown``.
+    :param most_waiters: maximum number of requests that wait for one run.
+    :param most_result_bytes: maximum size of one kept result.
+    :param most_kept_bytes: maximum total size of the kept results.
+    :param key_window_ms: time for which a key stays bound; must cover ``lifetime_ms`` and
+        ``run_ms``.
+    :param key_claim_ms: timeout of a claim at an owner of a key.
+    :param most_keys: maximum number of keys bound as an owner.
+    :raises ValueError: if the limits are inconsistent.
     """
 
     lifetime_ms: int = 60_000
--- a/rhubarbhinge/once/_outcome.py
+++ b/rhubarbhinge/once/_outcome.py
@@ -1,11 +1,11 @@
-"""The outcome of a run that must not repeat."""
+"""Outcomes of at-most-once runs."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class OutcomeKind(StrEnum):
-    """What is known of a run: three values, and no fourth."""
+    """What is known of a run; these three values are exhaustive."""
 
     RAN = "ran"
     REFUSED_NOT_RUN = "refused_not_run"
@@ -16,11 +16,11 @@
 class Outcome:
     """The answer to a run or a read.
 
-    :param kind: what is known.
-    :param code: what happened, as a short code.
-    :param message: one sentence for people.
-    :param todo: what the caller should do next.
-    :param retry_after_ms: earliest useful time of another attempt, in ms from now; 0 for none.
+    :param kind: what is known of the run.
+    :param code: the reason, as a short code.
+    :param message: human-readable description in one sentence.
+    :param todo: advice on what the caller should do next.
+    :param retry_after_ms: delay before another attempt is useful, in ms; 0 for none.
     :param result: the upstream's result, when it ran.
     """
 
@@ -36,9 +36,9 @@
 
 
 def kind_of(text: str) -> OutcomeKind | None:
-    """Read an outcome's kind out of a message.
+    """Parse the kind of an outcome in a message.
 
-    :param text: as it came from another node.
-    :returns: the kind, or None for a text that is none.
+    :param text: the text received from another node.
+    :returns: the kind, or None if the text is not a valid kind.
     """
     return _KIND_BY_VALUE.get(text)
--- a/rhubarbhinge/once/_outcome_codes.py
+++ b/rhubarbhinge/once/_outcome_codes.py
@@ -1,4 +1,4 @@
-"""Codes of outcomes, with the sentence and the advice that go with each."""
+"""Outcome codes with their messages and advice for the caller."""
 
 from enum import StrEnum
 
@@ -11,7 +11,7 @@
 
 
 class Code(StrEnum):
-    """What happened, as a short code."""
+    """Reason for an outcome, as a short code."""
 
     DONE = "done"
     RESULT_DROPPED = "result-dropped"
@@ -94,11 +94,11 @@
 def outcome(
     kind: OutcomeKind, code: Code, *, retry_after_ms: int = 0, result: bytes = b""
 ) -> Outcome:
-    """Make an outcome with the texts of its code.
+    """Return an outcome with the message and advice of its code.
 
-    :param kind: what is known.
-    :param code: what happened.
-    :param retry_after_ms: earliest useful time of another attempt, in ms from now.
+    :param kind: what is known of the run.
+    :param code: the reason.
+    :param retry_after_ms: delay before another attempt is useful, in ms.
     :param result: the upstream's result, when it ran.
     :returns: the outcome.
     """
@@ -107,20 +107,20 @@
 
 
 def not_run(code: Code, retry_after_ms: int = 0) -> Outcome:
-    """Make a refusal of a request that is known not to have run.
+    """Return the outcome of a refused request that is known not to have run.
 
-    :param code: why.
-    :param retry_after_ms: earliest useful time of another attempt, in ms from now.
+    :param code: the reason.
+    :param retry_after_ms: delay before another attempt is useful, in ms.
     :returns: the outcome.
     """
     return outcome(OutcomeKind.REFUSED_NOT_RUN, code, retry_after_ms=retry_after_ms)
 
 
 def unknown(code: Code, retry_after_ms: int = 0) -> Outcome:
-    """Make an outcome for a request of which it isn't known whether it ran.
+    """Return the outcome of a request that may or may not have run.
 
-    :param code: why.
-    :param retry_after_ms: earliest useful time of another read, in ms from now.
+    :param code: the reason.
+    :param retry_after_ms: delay before another read is useful, in ms.
     :returns: the outcome.
     """
     return outcome(OutcomeKind.UNKNOWN, code, retry_after_ms=retry_after_ms)
--- a/rhubarbhinge/once/_outcome_effects.py
+++ b/rhubarbhinge/once/_outcome_effects.py
@@ -1,4 +1,4 @@
-"""Answers to those who wait for an outcome."""
+"""Effects that report an outcome to its requester."""
 
 from rhubarbhinge.once._effects import AnswerOutcome, ReplyForward
 from rhubarbhinge.once._outcome import Outcome
@@ -9,7 +9,7 @@
 def outcome_effect(
     requester: Requester, ticket: str, outcome: Outcome
 ) -> AnswerOutcome | ReplyForward:
-    """Make the effect that tells an outcome to who asked.
+    """Return the effect that reports an outcome to its requester.
 
     :param requester: a caller's request, or a call from another entry.
     :param ticket: the ticket's text.
--- a/rhubarbhinge/once/_requester.py
+++ b/rhubarbhinge/once/_requester.py
@@ -1,4 +1,4 @@
-"""Who waits for an outcome."""
+"""Requesters of an outcome: callers of this entry and other entries."""
 
 from dataclasses import dataclass
 
--- a/rhubarbhinge/once/_run_results.py
+++ b/rhubarbhinge/once/_run_results.py
@@ -1,4 +1,4 @@
-"""What became of the runs that a relay was given, for entries that ask again."""
+"""Results of the runs that a relay has accepted, kept for entries that resend a run."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 from rhubarbhinge.wire._run_request import RunRequest
 
 MAX_KEPT_BYTES = 8 * 1024 * 1024
-"""Results kept at once; the oldest go first."""
+"""Maximum total size of kept results; the oldest are removed first."""
 
 
 @dataclass(slots=True)
@@ -18,13 +18,13 @@
 
 
 class RunResults:
-    """The runs that a relay has taken, with their results once they have ended.
+    """The runs that a relay has accepted, with their results once they have ended.
 
-    A result that is sent while the link to its entry is down is lost with the link. The entry sends
-    the run again once there is a link, and gets the same result from here.
+    A result sent while the link to its entry is down is lost. The entry resends the run once the
+    link is up again, and receives the result that is kept here.
 
-    :param keep_ms: how long a run is kept.
-    :param most_kept_bytes: results kept at once, in bytes.
+    :param keep_ms: how long a run is kept after it was accepted.
+    :param most_kept_bytes: maximum total size of kept results, in bytes.
     """
 
     def __init__(self, keep_ms: int, most_kept_bytes: int = MAX_KEPT_BYTES):
@@ -34,21 +34,21 @@
         self._runs: dict[str, _RunRecord] = {}
 
     def begin(self, request: RunRequest, now_ms: int) -> None:
-        """Note a run that the relay takes.
+        """Record a run that the relay accepts.
 
-        :param request: the message; its ticket is new here.
+        :param request: the message; its ticket must not be known yet.
         :param now_ms: time on this relay's clock.
         """
         self._remove_expired(now_ms)
         self._runs[request.ticket] = _RunRecord(request.entry, request.entry_incarnation, now_ms)
 
     def end(self, ticket: str, kind: str, payload: bytes, retry_after_ms: int) -> RunReply:
-        """Note how a run ended.
+        """Record the result of a run.
 
         :param ticket: its ticket.
         :param kind: the outcome, a value of :class:`OutcomeKind`.
         :param payload: the upstream's result, when it ran.
-        :param retry_after_ms: the upstream's advice, when it refused.
+        :param retry_after_ms: the retry delay that the upstream asked for, when it refused.
         :returns: the reply to its entry.
         """
         run = self._runs.get(ticket)
@@ -62,32 +62,32 @@
         return reply
 
     def withdraw(self, ticket: str) -> None:
-        """Forget a run that was given up before it was sent to an upstream.
+        """Remove a run that was abandoned before it was sent to an upstream.
 
         :param ticket: its ticket.
         """
         self._runs.pop(ticket, None)
 
     def is_open(self, request: RunRequest) -> bool:
-        """Return whether the run of a message was taken before and has not ended.
+        """Return whether the run of a message was accepted before and has not ended.
 
         :param request: the message.
-        :returns: True while its result is still to come.
+        :returns: True while its result is pending.
         """
         run = self._record_of(request)
         return run is not None and run.reply is None
 
     def recall(self, request: RunRequest) -> RunReply | None:
-        """Return the result of a run that was taken before.
+        """Return the result of a run that was accepted before.
 
         :param request: the message.
-        :returns: the reply, None when the run is new, open, or no longer kept.
+        :returns: the reply, or None when the run is new, open, or no longer kept.
         """
         run = self._record_of(request)
         return None if run is None else run.reply
 
     def open_of(self, entry: str) -> list[str]:
-        """List an entry's runs that have not ended.
+        """Return the open runs of an entry.
 
         :param entry: its node name.
         :returns: their tickets.
--- a/rhubarbhinge/once/_send_permit.py
+++ b/rhubarbhinge/once/_send_permit.py
@@ -1,4 +1,4 @@
-"""The last check before a run leaves."""
+"""Result of the check immediately before a run is sent."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPermit:
-    """Whether a run may leave now.
+    """Whether a run may be sent now.
 
     :param send: True at most once for a ticket.
-    :param effects: what else has to be done.
+    :param effects: effects to carry out in either case.
     """
 
     send: bool
--- a/rhubarbhinge/once/_sent_runs.py
+++ b/rhubarbhinge/once/_sent_runs.py
@@ -1,4 +1,4 @@
-"""The runs that an entry has sent to relays and has no result of."""
+"""Open runs that an entry has sent to relays."""
 
 from dataclasses import dataclass
 
@@ -12,30 +12,30 @@
 
 
 class SentRuns:
-    """The runs that an entry has sent to relays and has no result of.
+    """Runs that an entry has sent to relays and whose results it has not received.
 
-    The loss of a link says nothing about a run: its message may wait unread at the relay, and its
-    result may have been on the way. The same process of the relay can tell, so it is sent the run
-    again over the next link; its guard runs a ticket once.
+    The loss of a link leaves the state of a run undetermined: the relay may not have read the
+    request, or its result may have been in transit. The entry therefore resends the run to the same
+    relay process over the next link; the relay runs a ticket at most once.
     """
 
     def __init__(self) -> None:
         self._runs: dict[str, _SentRun] = {}
 
     def add(self, request: RunRequest, keep_until_ms: int) -> None:
-        """Note a run that is about to be sent.
+        """Record a run that is about to be sent.
 
         :param request: the message.
-        :param keep_until_ms: when it is forgotten without a result, on this entry's clock.
+        :param keep_until_ms: time at which it is removed without a result, on this entry's clock.
         """
         self._runs[request.ticket] = _SentRun(request, keep_until_ms)
 
     def take(self, ticket: str, relay: str) -> bool:
-        """End a run.
+        """Remove a run whose result has been received.
 
         :param ticket: its ticket.
-        :param relay: the node that tells its result.
-        :returns: whether it was open and sent to that relay.
+        :param relay: the node that sent the result.
+        :returns: whether the run was open and had been sent to that relay.
         """
         run = self._runs.get(ticket)
         if run is None or run.request.relay != relay:
@@ -44,7 +44,7 @@
         return True
 
     def relays(self) -> set[tuple[str, int]]:
-        """Return the relays that have runs.
+        """Return the relays with open runs.
 
         :returns: names and incarnations.
         """
@@ -52,7 +52,7 @@
         return {(run.request.relay, run.request.relay_incarnation) for run in runs}
 
     def of_relay(self, relay: str, incarnation: int) -> list[RunRequest]:
-        """Return the open runs of one process of a relay, in the order in which they were sent.
+        """Return the open runs of one relay process, in the order in which they were sent.
 
         :param relay: its node name.
         :param incarnation: its incarnation.
@@ -63,7 +63,7 @@
         return [each for each in requests if (each.relay, each.relay_incarnation) == wanted]
 
     def forget_old(self, now_ms: int) -> None:
-        """Forget the runs whose result would no longer be kept.
+        """Remove the runs whose result is no longer kept by the relay.
 
         :param now_ms: time on this entry's clock.
         """
--- a/rhubarbhinge/once/_signer.py
+++ b/rhubarbhinge/once/_signer.py
@@ -1,4 +1,4 @@
-"""Signing and checking of tickets."""
+"""Signing and verification of tickets."""
 
 import base64
 import binascii
@@ -11,21 +11,21 @@
 from rhubarbhinge.once._ticket import Ticket
 
 MAC_BYTES = 16
-"""Length of a signature; half of HMAC-SHA256's output, the least that RFC 2104 advises."""
+"""Length of a signature: half of HMAC-SHA256's output, the minimum that RFC 2104 recommends."""
 MAX_TEXT_CHARS = 512
-"""Longest text that is looked at, in characters."""
+"""Maximum length of a ticket's text, in characters; longer texts are rejected undecoded."""
 MAX_NAME_BYTES = 64
-"""Longest entry name and action name in a ticket."""
+"""Maximum length of the entry name and of the action name in a ticket."""
 MIN_KEY_BYTES = 16
-"""Shortest deployment key that is accepted."""
+"""Minimum length of a deployment key."""
 _KEY_DERIVATION_LABEL = b"rhubarbhinge ticket 1"
 _HEADER = struct.Struct(">QIQBB")
 
 
 class Signer:
-    """Mints and checks the tickets of one entry.
+    """Mints the tickets of one entry and verifies tickets of any entry.
 
-    :param deployment_key: the secret that all entries of a deployment share.
+    :param deployment_key: the secret shared by all entries of a deployment.
     :param entry: name of this entry.
     :param incarnation: incarnation of this entry.
     :raises ValueError: if the key is too short.
@@ -33,7 +33,7 @@
 
     def __init__(self, deployment_key: bytes, entry: str, incarnation: int):
         if len(deployment_key) < MIN_KEY_BYTES:
-            raise ValueError(f"a deployment key has at least {MIN_KEY_BYTES} bytes")
+            raise ValueError(f"the deployment key must have at least {MIN_KEY_BYTES} bytes")
         self._key = hmac.digest(deployment_key, _KEY_DERIVATION_LABEL, "sha256")
         self.entry = entry
         self.incarnation = incarnation
@@ -41,20 +41,20 @@
     def mint(self, sequence: int, action: str, digest: bytes, expires_ms: int) -> str:
         """Sign a ticket of this entry.
 
-        :param sequence: number of the ticket; the caller never uses one twice.
+        :param sequence: number of the ticket; must be unique within the incarnation.
         :param action: name of the action.
         :param digest: digest of the action and the body.
         :param expires_ms: end of its lifetime on this entry's clock.
-        :returns: the ticket's text, safe in a URL.
+        :returns: the ticket's URL-safe text.
         """
         ticket = Ticket(self.entry, self.incarnation, sequence, action, expires_ms, digest)
         packed = _pack(ticket)
         return base64.urlsafe_b64encode(packed + self._mac(packed)).rstrip(b"=").decode()
 
     def verify(self, text: str) -> Ticket | InvalidTicket:
-        """Check form and signature; this says nothing of the ticket's owner or lifetime.
+        """Verify the format and signature of a ticket, but neither its owner nor its lifetime.
 
-        :param text: what a caller showed.
+        :param text: the text received from a caller.
         :returns: the ticket, or ``ticket-malformed`` or ``ticket-forged``.
         """
         data = _decode(text)
@@ -67,14 +67,14 @@
         return InvalidTicket(Code.MALFORMED) if ticket is None else ticket
 
     def verify_own(self, text: str, now_ms: int) -> Ticket | InvalidTicket:
-        """Check that a ticket is this incarnation's and has not expired.
+        """Verify a ticket, that this incarnation minted it, and that it has not expired.
 
-        Only here is the expiry compared with a clock, as only this process reads the clock that
-        the expiry was taken from.
+        Only the process that minted a ticket can check its expiry, as it is a time on that
+        process's clock.
 
-        :param text: what a caller showed.
+        :param text: the text received from a caller.
         :param now_ms: time on this entry's clock.
-        :returns: the ticket, or a fault.
+        :returns: the ticket, or the reason why it is invalid.
         """
         ticket = self.verify(text)
         if isinstance(ticket, InvalidTicket):
@@ -86,7 +86,7 @@
     def owns(self, ticket: Ticket) -> bool:
         """Return whether this incarnation minted a ticket.
 
-        :param ticket: a checked ticket.
+        :param ticket: a verified ticket.
         :returns: True if both name and incarnation are this entry's.
         """
         return (ticket.entry, ticket.incarnation) == (self.entry, self.incarnation)
@@ -98,7 +98,7 @@
 def _pack(ticket: Ticket) -> bytes:
     entry, action = ticket.entry.encode(), ticket.action.encode()
     if max(len(entry), len(action)) > MAX_NAME_BYTES or len(ticket.digest) != DIGEST_BYTES:
-        raise ValueError("a ticket's name or digest has the wrong length")
+        raise ValueError("ticket has a name that is too long, or a digest of invalid length")
     head = _HEADER.pack(
         ticket.incarnation, ticket.sequence, ticket.expires_ms, len(entry), len(action)
     )
--- a/rhubarbhinge/once/_ticket_record.py
+++ b/rhubarbhinge/once/_ticket_record.py
@@ -1,4 +1,4 @@
-"""What the owner of a ticket remembers of it."""
+"""Records that the owner of tickets keeps of them."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class TicketState(StrEnum):
-    """States of a ticket, in their order; it never goes back."""
+    """States of a ticket in their order; a ticket never returns to an earlier state."""
 
     MINTED = "minted"
     CONSUMED = "consumed"
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True)
 class TicketRecord:
-    """What the owner of a ticket remembers of it.
+    """The owner's record of a ticket.
 
     :param ticket: the ticket.
     :param text: its text.
-    :param state: its step.
-    :param deadline_ms: end of its run; 0 before the start.
-    :param waiters: who waits for its outcome.
-    :param outcome: its outcome, once ``state`` is done.
+    :param state: its state.
+    :param deadline_ms: deadline of its run; 0 before the start.
+    :param waiters: requesters that wait for its outcome.
+    :param outcome: its outcome, once ``state`` is ``DONE``.
     """
 
     ticket: Ticket
--- a/rhubarbhinge/once/_ticket_store.py
+++ b/rhubarbhinge/once/_ticket_store.py
@@ -1,4 +1,4 @@
-"""The tickets that one entry has minted."""
+"""The tickets minted by one entry, with their states and outcomes."""
 
 from rhubarbhinge.once._body_digest import body_digest
 from rhubarbhinge.once._effects import Effect, StartRun
@@ -14,14 +14,14 @@
 from rhubarbhinge.once._ticket_record import TicketRecord, TicketState
 
 NOT_STARTED_RETRY_MS = 1_000
-"""Advice to a reader of an unused ticket, in ms."""
+"""Retry delay returned for a read of an unused ticket, in ms."""
 
 
 class TicketStore:
-    """The tickets that one entry has minted, each with its state and outcome.
+    """The tickets minted by one entry, each with its state and outcome.
 
-    :param signer: mints and checks tickets under this entry's name and incarnation.
-    :param settings: bounds.
+    :param signer: mints and verifies tickets under this entry's name and incarnation.
+    :param settings: limits.
     """
 
     def __init__(self, signer: Signer, settings: OnceSettings):
@@ -37,14 +37,14 @@
 
     @property
     def running(self) -> int:
-        """Return how many tickets are consumed and have no outcome yet.
+        """Return the number of tickets that are consumed and have no outcome yet.
 
         :returns: the number.
         """
         return len(self._running)
 
     def unused(self, now_ms: int) -> int:
-        """Return how many tickets have neither expired nor been used.
+        """Return the number of tickets that have neither expired nor been used.
 
         :param now_ms: time on this entry's clock.
         :returns: the number.
@@ -52,20 +52,20 @@
         return sum(_is_unused(record, now_ms) for record in self._records.values())
 
     def open_until_ms(self, now_ms: int) -> int:
-        """Return when the last open ticket is over at the latest.
+        """Return the time by which all open tickets have expired and all runs have ended.
 
         :param now_ms: time on this entry's clock.
-        :returns: that time; now if none is open.
+        :returns: time on this entry's clock; now if nothing is open.
         """
         ends = [r.ticket.expires_ms for r in self._records.values() if _is_unused(r, now_ms)]
         ends += [self._records[sequence].deadline_ms for sequence in self._running]
         return max(ends, default=now_ms)
 
     def full_for_ms(self, now_ms: int) -> int:
-        """Return how long no ticket can be minted.
+        """Return for how long no ticket can be minted because the store is full.
 
         :param now_ms: time on this entry's clock.
-        :returns: time until the next place is free, in ms; 0 if one is free.
+        :returns: time until the oldest record expires, in ms; 0 if the store is not full.
         """
         if len(self._records) < self._settings.most_tickets:
             return 0
@@ -73,7 +73,7 @@
         return max(1, oldest.ticket.expires_ms + self._settings.keep_ms - now_ms)
 
     def mint(self, action: str, digest: bytes, now_ms: int) -> str:
-        """Mint a ticket; there must be a free place.
+        """Mint a ticket; the store must not be full.
 
         :param action: name of the action.
         :param digest: digest of the action and the body.
@@ -90,17 +90,17 @@
         return text
 
     def remaining_ms(self, text: str, now_ms: int) -> int:
-        """Tell the rest of a ticket's lifetime.
+        """Return the remaining lifetime of a ticket.
 
         :param text: the ticket's text.
         :param now_ms: time on this entry's clock.
-        :returns: the rest in ms; 0 if it is over or another entry's.
+        :returns: time in ms; 0 if the ticket has expired or is another entry's.
         """
         record = self._own_record(text)
         return 0 if record is None else max(0, record.ticket.expires_ms - now_ms)
 
     def discard(self, text: str) -> None:
-        """Drop a ticket that nobody has been shown.
+        """Discard a ticket that has not been returned to any caller.
 
         :param text: the ticket's text.
         """
@@ -111,14 +111,14 @@
     def run(
         self, requester: Requester, ticket: Ticket, text: str, body: bytes, now_ms: int
     ) -> list[Effect]:
-        """Run a ticket of this ledger, once; a copy waits for, or reads, the same outcome.
+        """Run a ticket of this store once; a repeated request gets the outcome of the same run.
 
-        :param requester: who waits for the outcome.
-        :param ticket: the checked ticket.
+        :param requester: the requester of the outcome.
+        :param ticket: the verified ticket.
         :param text: its text.
         :param body: the caller's body.
         :param now_ms: time on this entry's clock.
-        :returns: the effects; with ``StartRun`` the ticket is consumed already.
+        :returns: the effects; on ``StartRun`` the ticket is already marked as consumed.
         """
         if body_digest(ticket.action, body) != ticket.digest:
             return [outcome_effect(requester, text, not_run(Code.BODY_MISMATCH))]
@@ -130,10 +130,10 @@
         return self._wait(record, requester, text)
 
     def read(self, requester: Requester, ticket: Ticket, text: str, now_ms: int) -> list[Effect]:
-        """Read the outcome of a ticket of this ledger.
+        """Read the outcome of a ticket of this store.
 
-        :param requester: who waits for the outcome.
-        :param ticket: the checked ticket.
+        :param requester: the requester of the outcome.
+        :param ticket: the verified ticket.
         :param text: its text.
         :param now_ms: time on this entry's clock.
         :returns: the effects; never a run.
@@ -149,14 +149,14 @@
         return [outcome_effect(requester, text, unknown(Code.NOT_STARTED, NOT_STARTED_RETRY_MS))]
 
     def on_send(self, text: str, now_ms: int) -> SendPermit:
-        """Check once more, just before the first byte of a run leaves.
+        """Return whether a run may be sent, immediately before its first byte is sent.
 
-        A process that was frozen after ``StartRun`` finds its ticket expired or its run past its
-        deadline here; then nothing is sent, and the outcome is known to be not run.
+        This detects that the process was suspended after ``StartRun`` until the ticket expired or
+        the run's deadline passed. Nothing is sent then, and the run is known not to have run.
 
         :param text: the ticket's text.
         :param now_ms: time on this entry's clock, read after everything that can block.
-        :returns: whether to send; True at most once for a ticket.
+        :returns: the permit; it allows sending at most once for a ticket.
         """
         record = self._own_record(text)
         if record is None or record.state is not TicketState.CONSUMED:
@@ -170,16 +170,16 @@
     def on_upstream(
         self, text: str, kind: OutcomeKind, payload: bytes, retry_after_ms: int, now_ms: int
     ) -> list[Effect]:
-        """Take what came of a run.
+        """Handle the outcome of a run.
 
-        ``refused_not_run`` is for two cases only: nothing was sent, or the upstream refused in so
-        many words. Everything else but an answer is ``unknown``, and so is a refusal that comes
-        after the run's deadline: a relay's guard may then have forgotten that it sent the ticket.
+        ``refused_not_run`` is for two cases only: nothing was sent, or the upstream refused
+        explicitly. Everything else except an answer is ``unknown``. So is a refusal after the run's
+        deadline, as the relay may by then have forgotten that it sent the ticket.
 
         :param text: the ticket's text.
-        :param kind: what is known.
+        :param kind: what is known of the run.
         :param payload: the upstream's result, when it ran.
-        :param retry_after_ms: the upstream's advice, when it refused.
+        :param retry_after_ms: the retry delay that the upstream asked for, when it refused.
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
@@ -194,10 +194,10 @@
         return self._finish(record, self._outcome_of(kind, payload, retry_after_ms))
 
     def end_late_runs(self, now_ms: int) -> list[Effect]:
-        """End the runs that are past their deadline.
+        """End the runs whose deadline has passed.
 
         :param now_ms: time on this entry's clock.
-        :returns: the answers.
+        :returns: the answers to the waiting requesters.
         """
         effects: list[Effect] = []
         for sequence in sorted(self._running):
@@ -210,7 +210,7 @@
         return effects
 
     def remove_expired(self, now_ms: int) -> None:
-        """Forget the tickets whose outcome is no longer kept.
+        """Remove the tickets whose outcome is no longer kept.
 
         :param now_ms: time on this entry's clock.
         """
@@ -281,6 +281,6 @@
 
 
 def _may_replace(old: Outcome | None, kind: OutcomeKind) -> bool:
-    """Return whether late news replaces an outcome; only an answer does, and only ``unknown``."""
+    """Return whether a late outcome replaces a previous one: only ``ran`` replaces ``unknown``."""
     was_unknown = old is not None and old.kind is OutcomeKind.UNKNOWN
     return was_unknown and kind is OutcomeKind.RAN
--- a/rhubarbhinge/once/_violation.py
+++ b/rhubarbhinge/once/_violation.py
@@ -1,11 +1,11 @@
-"""A broken promise in a history."""
+"""Violations of the at-most-once guarantees in a history."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Fault(StrEnum):
-    """Which promise was broken."""
+    """The guarantee that was violated."""
 
     MALFORMED = "malformed"
     SENT_TWICE = "sent-twice"
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken promise in a history.
+    """A violated guarantee in a history.
 
-    :param fault: which promise.
-    :param line: number of the line that shows it, from 1.
+    :param fault: the guarantee.
+    :param line: number of the line that shows the violation, counted from 1.
     :param subject: the ticket, the key or the malformed line.
     """
 
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -1,4 +1,4 @@
-"""Entries, relays and an upstream log in memory, driven step by step by a schedule."""
+"""In-memory simulation of entries, relays and an upstream, driven step by step."""
 
 from collections.abc import Callable
 
@@ -44,7 +44,7 @@
 
 
 class Fleet:
-    """All processes and what is on the way between them; ``history`` is what happened."""
+    """All processes and the messages in transit; ``history`` records what happened."""
 
     def __init__(self, old: bool = True):
         self.now_ms = 10_000
@@ -69,7 +69,7 @@
             self.start_relay(name)
 
     def start_entry(self, name: str, started_ms: int) -> None:
-        """Start an entry anew: it knows nothing, and has lost what it had not sent."""
+        """Start or restart an entry, which loses all state and unsent messages."""
         self.incarnations += 1
         offset_ms = CLOCK_OFFSETS_MS[name]
         keys = KeyBook(name, self.incarnations, SETTINGS, started_ms + offset_ms)
@@ -80,26 +80,26 @@
         self.refresh_list(name)
 
     def refresh_list(self, name: str) -> None:
-        """Let an entry read the list of entries, unless it is cut off."""
+        """Update an entry's list of entries, unless it is partitioned."""
         if name not in self.split:
             self.keys[name].on_entries(self.listed, self.clock(name), self.clock(name))
 
     def clock(self, name: str) -> int:
-        """Read the clock of a process; no two clocks agree."""
+        """Return the time on the clock of a process; all clocks differ."""
         return self.now_ms + CLOCK_OFFSETS_MS[name]
 
     def sleep(self, duration_ms: int) -> None:
-        """Let time pass; those that aren't cut off then read the list."""
+        """Advance the time, then update the lists of the entries that are not partitioned."""
         self.now_ms += duration_ms
         for name in ENTRIES:
             self.refresh_list(name)
 
     def tick(self, entry: str) -> None:
-        """Let an entry end what is past its time."""
+        """Tick an entry, so that it ends overdue work."""
         self.act(entry, lambda book, now_ms: book.tick(now_ms))
 
     def flush(self) -> None:
-        """Deliver what is on the way, and what it leads to between entries, in order."""
+        """Deliver the messages in transit, and those sent in response, in order."""
         for _ in range(len(self.network) * 4):
             self.deliver(self._first_deliverable(), False)
 
@@ -109,7 +109,7 @@
         return next(passes, 0)
 
     def start_relay(self, name: str) -> None:
-        """Start a relay anew."""
+        """Start or restart a relay."""
         self.incarnations += 1
         self.guards[name] = RunGuard(name, self.incarnations, SETTINGS.key_window_ms, 100)
         self.inboxes[name] = []
@@ -133,12 +133,12 @@
         return request
 
     def act(self, entry: str, step: Callable[[TicketBook, int], list]) -> None:
-        """Take one step of a book and carry out its effects."""
+        """Call an entry and apply the effects that it returns."""
         for effect in step(self.books[entry], self.clock(entry)):
             self._apply_effect(entry, effect)
 
     def send_run(self, entry: str, relay: str) -> None:
-        """Let an entry send its oldest started run, if it still may."""
+        """Send an entry's oldest started run, if that is still permitted."""
         if not self.outboxes[entry]:
             return
         start = self.outboxes[entry].pop(0)
@@ -164,7 +164,7 @@
         self.network.append((entry, relay, message))
 
     def call_upstream(self, relay: str, result: int) -> None:
-        """Let a relay send its oldest run; the result says what comes of it."""
+        """Send a relay's oldest run to the upstream; ``result`` selects its outcome."""
         if not self.inboxes.get(relay):
             return
         request = self.inboxes[relay].pop(0)
@@ -174,7 +174,7 @@
         self.network.append((relay, request.entry, reply))
 
     def deliver(self, at: int, keep: bool) -> None:
-        """Deliver one message, if its ends can reach each other; kept, it comes again."""
+        """Deliver one message, if its ends are not partitioned; keep it to deliver it twice."""
         if not self.network:
             return
         index = at % len(self.network)
@@ -186,7 +186,7 @@
         self._receive(receiver, message)
 
     def settle(self) -> None:
-        """Let everything that is on the way arrive, in order."""
+        """Deliver all messages and execute all runs, in order."""
         while self.network or any(self.outboxes.values()) or any(self.inboxes.values()):
             for name in ENTRIES:
                 self.send_run(name, RELAYS[0])
@@ -223,7 +223,7 @@
             self.history.append(f"bind {effect.ticket} {self._epoch(key, asked_ms)}")
 
     def _epoch(self, key: str, asked_ms: int) -> str:
-        """Name the stretch of requests with a key that are less than the window apart."""
+        """Return the name of the series of requests with a key at intervals below the window."""
         number, last_ms = self.key_epochs.get(key, (0, asked_ms))
         number += asked_ms >= last_ms + WINDOW_MS
         self.key_epochs[key] = (number, max(last_ms, asked_ms))
--- a/rhubarbhinge/once/tests/test_book.py
+++ b/rhubarbhinge/once/tests/test_book.py
@@ -1,4 +1,4 @@
-"""Tests of single steps of the book of tickets and of the relay's guard."""
+"""Unit tests of tickets, idempotency keys and the relay's duplicate check."""
 
 import unittest
 from dataclasses import replace
@@ -33,7 +33,7 @@
         self.assertTrue(self.book.on_send(self.ticket, self.fleet.now_ms).send)
         return request
 
-    def test_a_read_never_runs(self):
+    def test_read_never_runs_the_ticket(self):
         first = self.fleet.read(OWNER, self.ticket)
         self.assertEqual(("unknown", "not-started"), self.code(first))
         self.assertEqual([], self.fleet.outboxes[OWNER])
@@ -44,18 +44,18 @@
         self.fleet.run(OWNER, self.ticket, BODY)
         self.assertEqual(1, len(self.fleet.outboxes[OWNER]))
 
-    def test_the_permit_to_send_is_given_once(self):
+    def test_send_permit_is_given_once(self):
         self.start_and_send()
         self.assertFalse(self.book.on_send(self.ticket, self.fleet.now_ms).send)
 
-    def test_a_process_frozen_before_the_send_does_not_send(self):
+    def test_process_suspended_before_the_send_does_not_send(self):
         request = self.fleet.run(OWNER, self.ticket, BODY)
         self.fleet.sleep(SETTINGS.run_ms)
         self.fleet.send_run(OWNER, "a/relay")
         self.assertEqual([], self.fleet.network)
         self.assertEqual(("refused_not_run", "late-send"), self.code(request))
 
-    def test_expiry_ends_a_run_that_was_started_just_before_it(self):
+    def test_ticket_that_expires_after_the_start_is_not_sent(self):
         self.fleet.sleep(SETTINGS.lifetime_ms - 1)
         self.fleet.run(OWNER, self.ticket, BODY)
         self.fleet.sleep(1)
@@ -70,7 +70,7 @@
         later = self.fleet.read(OWNER, self.ticket)
         self.assertEqual(("unknown", "ticket-expired"), self.code(later))
 
-    def test_a_refused_ticket_is_used_up(self):
+    def test_refused_ticket_cannot_be_run_again(self):
         first = self.start_and_send()
         self.upstream(OutcomeKind.REFUSED_NOT_RUN)
         again = self.fleet.run(OWNER, self.ticket, BODY)
@@ -78,7 +78,7 @@
         self.assertEqual(self.fleet.answers[first], self.fleet.answers[again])
         self.assertEqual(7, self.fleet.answers[first].retry_after_ms)
 
-    def test_late_news(self):
+    def test_late_answer_replaces_unknown_and_late_refusal_does_not(self):
         request = self.start_and_send()
         self.fleet.sleep(SETTINGS.run_ms)
         self.upstream(OutcomeKind.REFUSED_NOT_RUN)
@@ -87,7 +87,7 @@
         self.upstream(OutcomeKind.REFUSED_NOT_RUN)
         self.assertEqual(("ran", "done"), self.code(self.fleet.read(OWNER, self.ticket)))
 
-    def test_results_are_bounded_one_by_one_and_together(self):
+    def test_size_of_results_is_limited_each_and_in_total(self):
         codes = [self.run_with_result(size) for size in (9, 8, 8, 8, 4)]
         self.assertEqual(["result-dropped", "done", "done", "result-dropped", "done"], codes)
         self.fleet.sleep(SETTINGS.lifetime_ms + SETTINGS.keep_ms)
@@ -102,7 +102,7 @@
         self.assertEqual("ran", kind)
         return code
 
-    def test_bounds(self):
+    def test_number_of_tickets_and_waiters_is_limited(self):
         for _ in range(SETTINGS.most_tickets - 1):
             self.mint()
         full = self.fleet.mint(OWNER, BODY, None)
@@ -125,7 +125,7 @@
         self.start_and_send()
         self.assertEqual((0, 1, 0, SETTINGS.run_ms), _fields(self.book.drain(self.fleet.now_ms)))
 
-    def test_the_owner_is_lost(self):
+    def test_restarted_owner_does_not_know_the_ticket(self):
         asked = self.fleet.run(OTHER, self.ticket, BODY)
         self.fleet.start_entry(OWNER, self.fleet.now_ms)
         self.fleet.flush()
@@ -133,14 +133,14 @@
         here = self.fleet.run(OWNER, self.ticket, BODY)
         self.assertEqual(("unknown", "ticket-other-incarnation"), self.code(here))
 
-    def test_a_silent_owner(self):
+    def test_owner_that_does_not_reply(self):
         asked = self.fleet.run(OTHER, self.ticket, BODY)
         self.fleet.sleep(SETTINGS.forward_ms)
         self.fleet.tick(OTHER)
         self.assertEqual(("unknown", "owner-silent"), self.code(asked))
 
-    def test_a_call_whose_link_was_lost_is_passed_on_again_and_runs_once(self):
-        """Guards against a ticket told as unknown although its owner runs and has not got it."""
+    def test_call_is_resent_after_a_lost_link_and_runs_once(self):
+        """Guards against reporting unknown when a running owner has not received the ticket."""
         asked = self.fleet.run(OTHER, self.ticket, BODY)
         forwarded = self.fleet.network.pop()
         self.fleet.act(OTHER, lambda book, now_ms: book.on_link_lost(OWNER, now_ms))
@@ -154,14 +154,14 @@
         runs = [line for line in self.fleet.history if line.startswith("run ")]
         self.assertEqual(1, len(runs))
 
-    def test_a_repeated_call_waits_once(self):
+    def test_duplicate_call_waits_once(self):
         self.fleet.run(OTHER, self.ticket, BODY)
         _, _, call = self.fleet.network.pop()
         for _ in range(SETTINGS.most_waiters + 2):
             self.fleet.act(OWNER, lambda book, now_ms: book.on_forwarded(call, now_ms))
         self.assertEqual([], self.fleet.network)
 
-    def test_a_call_to_an_owner_that_has_another_incarnation_is_not_passed_on(self):
+    def test_call_is_not_resent_to_another_incarnation_of_the_owner(self):
         self.fleet.run(OTHER, self.ticket, BODY)
         self.fleet.network.clear()
         incarnation = self.book._signer.incarnation + 1
@@ -169,14 +169,14 @@
         self.assertEqual([], self.fleet.network)
         self.assertEqual({(OWNER, incarnation - 1)}, self.fleet.books[OTHER].owners_asked())
 
-    def test_bad_tickets(self):
+    def test_invalid_tickets_are_unknown(self):
         wrong = self.ticket[:-1] + ("A" if self.ticket[-1] != "A" else "Q")
         for text in ("", "x" * 40, wrong):
             effects = self.book.on_run(99, text, BODY, self.fleet.now_ms)
             self.assertIsInstance(effects[0], AnswerOutcome)
             self.assertEqual(OutcomeKind.UNKNOWN, effects[0].outcome.kind)
 
-    def test_consumed_before_the_effect(self):
+    def test_ticket_is_consumed_before_the_run_starts(self):
         effects = self.book.on_run(98, self.ticket, BODY, self.fleet.now_ms)
         self.assertIsInstance(effects[0], StartRun)
         self.assertEqual([], self.book.on_run(99, self.ticket, BODY, self.fleet.now_ms))
@@ -194,18 +194,18 @@
         self.fleet.flush()
         return self.fleet.answers.get(request)
 
-    def test_every_entry_shows_the_same_ticket(self):
+    def test_every_entry_returns_the_same_ticket(self):
         self.assertEqual({self.ticket}, {self.ask(entry).ticket for entry in ENTRIES})
         self.assertEqual([0, 0, 1], sorted(self.fleet.books[name].held for name in ENTRIES))
 
     def test_another_body_is_refused(self):
         self.assertEqual("key-mismatch", self.ask(OWNER, BODIES[1]).code)
 
-    def test_the_copy_answers_when_the_first_owner_is_lost(self):
+    def test_copy_is_used_when_the_first_owner_is_lost(self):
         self.fleet.start_entry(self.owners[0], self.fleet.now_ms)
         self.assertEqual(self.ticket, self.ask(self.third).ticket)
 
-    def test_a_refused_request_with_a_key_may_have_run_before(self):
+    def test_refused_request_with_a_key_is_unknown(self):
         book = self.fleet.books[self.third]
         for _ in range(SETTINGS.most_tickets):
             self.fleet.mint(self.third, BODY, None)
@@ -217,19 +217,19 @@
         found = self.ask(self.third)
         return found.kind, found.code
 
-    def test_a_copy_that_was_not_confirmed_does_not_answer(self):
+    def test_unconfirmed_copy_is_not_used(self):
         copy = self.fleet.keys[self.owners[1]]._bindings._bindings
         copy[KEYS[0]] = replace(copy[KEYS[0]], copied=False)
         self.fleet.start_entry(self.owners[0], self.fleet.now_ms)
         self.assertEqual("key-owner-young", self.ask(self.third).code)
 
-    def test_nothing_is_granted_while_both_owners_are_young(self):
+    def test_key_is_not_bound_while_both_owners_are_young(self):
         for name in self.owners:
             self.fleet.start_entry(name, self.fleet.now_ms)
         refused = self.ask(self.third)
         self.assertEqual(("unknown", "key-owner-young"), (refused.kind, refused.code))
 
-    def test_nothing_is_granted_when_both_owners_were_delisted(self):
+    def test_key_is_not_bound_when_both_owners_were_delisted(self):
         self.fleet.listed = frozenset({self.third})
         self.fleet.sleep(1)
         self.fleet.split = frozenset(self.owners)
@@ -240,14 +240,14 @@
             self.fleet.tick(self.third)
         self.assertEqual("key-owner-gone", self.fleet.answers[request].code)
 
-    def test_a_delisted_owner_grants_nothing(self):
+    def test_delisted_owner_binds_no_key(self):
         self.fleet.listed = frozenset(ENTRIES) - {self.owners[0]}
         self.fleet.sleep(1)
         for name in self.owners:
             self.fleet.keys[name]._bindings._bindings.clear()
         self.assertEqual("key-not-owner", self.ask(self.third).code)
 
-    def test_a_delisted_owner_keeps_its_rank_for_a_window_and_a_half(self):
+    def test_delisted_owner_keeps_its_rank_for_one_and_a_half_windows(self):
         self.fleet.listed = frozenset(ENTRIES) - {self.owners[0]}
         self.fleet.sleep(1)
         delisted_rank_ms = SETTINGS.key_window_ms * 3 // 2
@@ -256,7 +256,7 @@
         self.fleet.sleep(1)
         self.assertIsInstance(self.ask(self.third), AnswerRedirect)
 
-    def test_sides_of_a_split_show_two_tickets_only_a_window_apart(self):
+    def test_partitioned_sides_return_two_tickets_only_a_window_apart(self):
         shown_ms = {self.owners[0]: [], self.third: []}
         self.fleet.split = frozenset(self.owners)
         self.fleet.listed = frozenset({self.third})
@@ -270,7 +270,7 @@
         last_ms, first_ms = shown_ms[self.owners[0]][-1], shown_ms[self.third][0]
         self.assertGreaterEqual(first_ms - last_ms, SETTINGS.key_window_ms)
 
-    def test_a_cut_off_side_stops_granting_before_the_others_begin(self):
+    def test_partitioned_owner_stops_binding_after_a_quarter_window(self):
         self.fleet.split = frozenset(self.owners)
         self.fleet.sleep(SETTINGS.key_window_ms // 4)
         self.assertEqual("key-list-old", self.ask(self.owners[0]).code)
@@ -281,7 +281,7 @@
         held[KEYS[0]] = replace(held[KEYS[0]], ticket="other")
         self.assertEqual("key-conflict", self.ask(self.third).code)
 
-    def test_the_window_follows_the_last_request(self):
+    def test_window_starts_at_the_last_request(self):
         self.fleet.sleep(SETTINGS.key_window_ms - 1)
         self.assertEqual(self.ticket, self.ask(self.third).ticket)
         self.fleet.sleep(SETTINGS.key_window_ms - 1)
@@ -300,27 +300,27 @@
     def codes(self, *replies) -> list[tuple[str, str] | None]:
         return [reply and (reply.kind, reply.code) for reply in replies]
 
-    def test_a_ticket_passes_once(self):
+    def test_ticket_is_sent_once(self):
         request = self.request("t")
         found = [self.guard.on_request(request, 0), self.guard.may_send(request, 9)]
         found += [self.guard.on_request(request, 9), self.guard.may_send(request, 9)]
         again = ("unknown", "run-duplicate")
         self.assertEqual([None, None, again, again], self.codes(*found))
 
-    def test_a_frozen_relay_does_not_send(self):
+    def test_suspended_relay_does_not_send(self):
         request = self.request("t")
         found = [self.guard.on_request(request, 0), self.guard.may_send(request, 10)]
         self.assertEqual([None, ("refused_not_run", "late-send")], self.codes(*found))
 
-    def test_a_message_that_was_held_up_is_not_run(self):
+    def test_delayed_message_is_not_run(self):
         found = self.guard.on_request(self.request("t"), 10)
         self.assertEqual([("refused_not_run", "late-send")], self.codes(found))
 
-    def test_a_restarted_relay_refuses_what_was_meant_for_the_one_before(self):
+    def test_restarted_relay_refuses_messages_to_its_previous_incarnation(self):
         found = self.guard.on_request(self.request("t", incarnation=4), 0)
         self.assertEqual([("unknown", "ticket-other-incarnation")], self.codes(found))
 
-    def test_the_guard_is_bounded(self):
+    def test_number_of_remembered_tickets_is_limited(self):
         found = [self.guard.on_request(self.request(name), 0) for name in "abc"]
         found.append(self.guard.on_request(self.request("c", deadline_ms=110), 100))
         self.assertEqual(
--- a/rhubarbhinge/once/tests/test_history.py
+++ b/rhubarbhinge/once/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Tests that the history checker catches each planted violation."""
+"""Tests of the history checker with one violation of each kind."""
 
 import unittest
 
@@ -21,11 +21,11 @@
 
 
 class HistoryTest(unittest.TestCase):
-    def test_a_good_history_passes(self):
+    def test_valid_history_passes(self):
         self.assertEqual([], faults([*VALID_HISTORY, ""]))
 
-    def test_planted_violations(self):
-        planted = {
+    def test_each_violation_is_found(self):
+        violating_lines = {
             Fault.SENT_TWICE: ["send t r2"],
             Fault.SENT_UNMINTED: ["send x r1"],
             Fault.RAN_TWICE: ["run t u2"],
@@ -36,12 +36,12 @@
             Fault.KEY_TWO_TICKETS: ["mint w -", "bind w k"],
             Fault.MALFORMED: ["answer t maybe"],
         }
-        self.assertEqual(set(Fault), set(planted))
-        for fault, lines in planted.items():
+        self.assertEqual(set(Fault), set(violating_lines))
+        for fault, lines in violating_lines.items():
             with self.subTest(fault):
                 self.assertEqual([fault], faults([*VALID_HISTORY, *lines]))
 
-    def test_a_refusal_before_the_run_is_caught_at_the_run(self):
+    def test_run_after_a_refusal_is_reported_at_the_run(self):
         lines = ["mint t -", "send t r1", "answer t refused_not_run", "run t u1"]
         found = check_history(lines)
         self.assertEqual([(Fault.REFUSED_BUT_RAN, 4)], [(v.fault, v.line) for v in found])
--- a/rhubarbhinge/once/tests/test_owner_loss.py
+++ b/rhubarbhinge/once/tests/test_owner_loss.py
@@ -1,4 +1,4 @@
-"""Tests that an owner may be lost at each point of a run."""
+"""Tests of the loss of a ticket's owner at each step of a run."""
 
 import unittest
 
@@ -18,12 +18,12 @@
 
 
 class OwnerLossTest(unittest.TestCase):
-    def test_the_owner_is_lost_after_each_step(self):
+    def test_owner_is_lost_after_each_step(self):
         for number in range(len(STEPS) + 1):
             with self.subTest(number):
                 self._lose_owner_after(number)
 
-    def test_without_a_loss_the_steps_end_in_a_run(self):
+    def test_all_steps_without_a_loss_end_in_a_run(self):
         fleet, ticket = self._run_steps(len(STEPS))
         self.assertEqual(f"answer {ticket} ran", fleet.history[-1])
 
--- a/rhubarbhinge/once/tests/test_run_results.py
+++ b/rhubarbhinge/once/tests/test_run_results.py
@@ -1,4 +1,4 @@
-"""What a relay remembers of the runs that it took, and an entry of those that it sent."""
+"""Tests of the runs recorded by the relay that accepts them and by the entry that sends them."""
 
 import unittest
 
@@ -17,7 +17,7 @@
     def end(self, ticket: str, payload: bytes = b""):
         return self.results.end(ticket, "ran", payload, 0)
 
-    def test_a_result_is_given_again(self):
+    def test_result_is_returned_again(self):
         self.results.begin(request("t"), 0)
         self.assertTrue(self.results.is_open(request("t")))
         self.assertIsNone(self.results.recall(request("t")))
@@ -26,12 +26,12 @@
         self.assertFalse(self.results.is_open(request("t")))
         self.assertEqual(reply, self.results.recall(request("t")))
 
-    def test_another_process_under_the_entrys_name_is_told_nothing(self):
+    def test_other_incarnation_of_the_entry_gets_no_result(self):
         self.results.begin(request("t"), 0)
         self.end("t")
         self.assertIsNone(self.results.recall(request("t", entry=2)))
 
-    def test_results_are_bounded_by_age_and_bytes_and_open_runs_stay(self):
+    def test_results_are_limited_by_age_and_size_and_open_runs_are_kept(self):
         for ticket in "abc":
             self.results.begin(request(ticket), 0)
         self.end("b", b"x" * 6)
@@ -43,7 +43,7 @@
         self.assertIsNone(self.results.recall(request("c")))
         self.assertEqual(["d"], self.results.open_of("a/entry"))
 
-    def test_a_run_that_was_withdrawn_is_new(self):
+    def test_withdrawn_run_is_accepted_again(self):
         self.results.begin(request("t"), 0)
         self.results.withdraw("t")
         self.assertFalse(self.results.is_open(request("t")))
@@ -57,17 +57,17 @@
         for each in (self.first, self.second):
             self.sent.add(each, keep_until_ms=50)
 
-    def test_only_the_process_that_was_sent_a_run_is_sent_it_again(self):
+    def test_runs_are_resent_to_the_same_process_only(self):
         self.assertEqual([self.first], self.sent.of_relay("a/relay", 5))
         self.assertEqual([self.second], self.sent.of_relay("a/relay", 6))
         self.assertEqual([], self.sent.of_relay("b/relay", 5))
         self.assertEqual({("a/relay", 5), ("a/relay", 6)}, self.sent.relays())
 
-    def test_only_the_relay_that_was_sent_a_run_ends_it_once(self):
+    def test_only_the_relay_of_a_run_ends_it_once(self):
         ended = [self.sent.take("s", name) for name in ("b/relay", "a/relay", "a/relay")]
         self.assertEqual([False, True, False], ended)
 
-    def test_runs_without_a_result_are_forgotten(self):
+    def test_runs_without_a_result_are_removed_after_their_time(self):
         self.sent.forget_old(49)
         self.assertEqual(2, len(self.sent.relays()))
         self.sent.forget_old(50)
--- a/rhubarbhinge/once/tests/test_schedules.py
+++ b/rhubarbhinge/once/tests/test_schedules.py
@@ -1,4 +1,4 @@
-"""Hypothesis schedules over entries, relays and an upstream, with every failure in any order."""
+"""Property tests of entries, relays and an upstream with failures in any order."""
 
 import unittest
 from contextlib import ExitStack
@@ -136,7 +136,7 @@
     def test_keys(self, schedule, old):
         self.assertEqual([], check_history(run_schedule(Fleet(old=old), schedule, keyed=True)))
 
-    def test_planted_faults_are_found(self):
+    def test_injected_faults_are_found(self):
         for name, patches in INJECTED_FAULTS.items():
             keyed = "keys" in name
             with self.subTest(name), ExitStack() as stack:
@@ -158,7 +158,7 @@
                 fleet.tick(entry)
         self.assertEqual(set(fleet.requests), set(fleet.answers))
 
-    def test_without_failures_every_copy_reads_the_one_run(self):
+    def test_without_failures_all_requests_get_the_outcome_of_one_run(self):
         fleet = Fleet()
         first = fleet.mint(ENTRIES[0], BODIES[0], KEYS[0])
         fleet.settle()
--- a/rhubarbhinge/once/tests/test_signer.py
+++ b/rhubarbhinge/once/tests/test_signer.py
@@ -1,4 +1,4 @@
-"""Tests of signing and checking of tickets."""
+"""Tests of signing and verification of tickets."""
 
 import unittest
 
@@ -22,7 +22,7 @@
         wanted = Ticket("kgn-a-1/entry", 7, 3, "parts-order", 5_000, DIGEST)
         self.assertEqual(wanted, signer().verify_own(text, 4_999))
 
-    def test_faults(self):
+    def test_invalid_tickets(self):
         text = signer().mint(3, "parts-order", DIGEST, 5_000)
         self.assertEqual(InvalidTicket(Code.EXPIRED), signer().verify_own(text, 5_000))
         self.assertEqual(InvalidTicket(Code.OTHER_INCARNATION), signer(8).verify_own(text, 0))
@@ -32,7 +32,7 @@
 
     @settings(derandomize=True, deadline=None, database=None)
     @given(st.data())
-    def test_no_other_text_passes(self, data):
+    def test_modified_texts_are_invalid(self, data):
         text = signer().mint(3, "parts-order", DIGEST, 5_000)
         at = data.draw(st.integers(0, len(text) - 1))
         other = data.draw(st.characters(codec="ascii").filter(lambda c: c != text[at]))
