--- a/rhubarbhinge/daemons/_runs.py
+++ b/rhubarbhinge/daemons/_runs.py
@@ -23,7 +23,7 @@
     SendPermit,
     Signer,
     StartRun,
-    TicketBook,
+    TicketService,
 )
 from rhubarbhinge.query import Catalog
 from rhubarbhinge.telemetry import Metrics, log_event
@@ -83,7 +83,7 @@
         settings = OnceSettings()
         signer = Signer(key, identity.name, identity.incarnation)
         self._keys = KeyBook(identity.name, identity.incarnation, settings, self._now_ms())
-        self._book = TicketBook(signer, self._keys, settings)
+        self._tickets = TicketService(signer, self._keys, settings)
         self._open: dict[int, tuple[Responder, str]] = {}
         self._relay_runs = RelayRuns(
             timers,
@@ -130,10 +130,10 @@
             self._mint(request, responder)
         elif request.method == "POST":
             number = self._number(responder, ticket)
-            self._carry_out(self._book.on_run(number, ticket, request.body, self._now_ms()))
+            self._carry_out(self._tickets.on_run(number, ticket, request.body, self._now_ms()))
         else:
             number = self._number(responder, ticket)
-            self._carry_out(self._book.on_read(number, ticket, self._now_ms()))
+            self._carry_out(self._tickets.on_read(number, ticket, self._now_ms()))
 
     def on_message(self, peer: str, message: Any) -> bool:
         """Take a message about tickets or keys.
@@ -147,13 +147,13 @@
             case RunReply():
                 self._relay_runs.on_reply(peer, message)
             case TicketForward():
-                self._carry_out(self._book.on_forwarded(message, now_ms))
+                self._carry_out(self._tickets.on_forwarded(message, now_ms))
             case TicketForwardReply():
-                self._carry_out(self._book.on_forward_result(message, now_ms))
+                self._carry_out(self._tickets.on_forward_result(message, now_ms))
             case KeyClaim():
-                self._send(peer, self._book.on_key_claim(message, now_ms))
+                self._send(peer, self._tickets.on_key_claim(message, now_ms))
             case KeyClaimReply():
-                self._carry_out(self._book.on_key_reply(message, now_ms))
+                self._carry_out(self._tickets.on_key_reply(message, now_ms))
             case _:
                 return False
         return True
@@ -164,7 +164,7 @@
         :param peer: the node.
         """
         self._relay_runs.on_link_lost(peer)
-        self._carry_out(self._book.on_link_lost(peer.name, self._now_ms()))
+        self._carry_out(self._tickets.on_link_lost(peer.name, self._now_ms()))
         self._give_up_gone()
 
     def on_link_up(self, peer: Peer) -> None:
@@ -173,7 +173,7 @@
         :param peer: the node.
         """
         self._relay_runs.on_link_up(peer)
-        self._carry_out(self._book.on_link_up(peer.name, peer.incarnation))
+        self._carry_out(self._tickets.on_link_up(peer.name, peer.incarnation))
         self._give_up_gone()
 
     def on_relay_clock(self, relay: str, relay_now_ms: int) -> None:
@@ -186,7 +186,7 @@
 
     def drain(self) -> None:
         """Stop minting."""
-        report = self._book.drain(self._now_ms())
+        report = self._tickets.drain(self._now_ms())
         log_event(
             "drain-started",
             unused=report.unused,
@@ -200,7 +200,7 @@
 
         :returns: milliseconds.
         """
-        return self._book.drain(self._now_ms()).open_ms
+        return self._tickets.drain(self._now_ms()).open_ms
 
     def _now_ms(self) -> int:
         return int(self._timers.now_ms())
@@ -222,7 +222,7 @@
             return
         tenant_key = None if key is None else f"{self._config.register.tenant}:{key}"
         number = self._number(responder, "")
-        minted = self._book.on_mint(
+        minted = self._tickets.on_mint(
             number, command.action, command.body, tenant_key, self._now_ms()
         )
         self._carry_out(minted)
@@ -259,30 +259,30 @@
     def _claim(self, entry: str, claim: KeyClaim) -> None:
         now_ms = self._now_ms()
         if entry == self._identity.name:
-            reply = self._book.on_key_claim(claim, now_ms)
-            self._carry_out(self._book.on_key_reply(reply, now_ms))
+            reply = self._tickets.on_key_claim(claim, now_ms)
+            self._carry_out(self._tickets.on_key_reply(reply, now_ms))
         elif not self._send(entry, claim):
-            self._carry_out(self._book.on_link_lost(entry, now_ms))
+            self._carry_out(self._tickets.on_link_lost(entry, now_ms))
 
     def _ask_permit(self, ticket: str) -> SendPermit:
-        permit = self._book.on_send(ticket, self._now_ms())
+        permit = self._tickets.on_send(ticket, self._now_ms())
         self._carry_out(list(permit.effects))
         return permit
 
     def _ended(self, ticket: str, kind: OutcomeKind, result: bytes, retry_after_ms: int) -> None:
-        ended = self._book.on_upstream(ticket, kind, result, retry_after_ms, self._now_ms())
+        ended = self._tickets.on_upstream(ticket, kind, result, retry_after_ms, self._now_ms())
         self._carry_out(ended)
 
     def _give_up_gone(self) -> None:
         """End as unknown what was sent to processes that are gone."""
         self._relay_runs.give_up_gone()
-        for entry, incarnation in self._book.owners_asked():
+        for entry, incarnation in self._tickets.owners_asked():
             if self._is_gone(entry, incarnation):
-                gone = self._book.on_peer_gone(entry, incarnation, self._now_ms())
+                gone = self._tickets.on_peer_gone(entry, incarnation, self._now_ms())
                 self._carry_out(gone)
 
     def _tick(self) -> None:
-        self._carry_out(self._book.tick(self._now_ms()))
+        self._carry_out(self._tickets.tick(self._now_ms()))
         self._relay_runs.tick()
         self._give_up_gone()
 
--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -1,7 +1,6 @@
 """At-most-once execution of requests by tickets and idempotency keys."""
 
 from rhubarbhinge.once._body_digest import body_digest
-from rhubarbhinge.once._book import TicketBook
 from rhubarbhinge.once._drain_report import DrainReport
 from rhubarbhinge.once._effects import (
     AnswerOutcome,
@@ -26,6 +25,7 @@
 from rhubarbhinge.once._sent_runs import SentRuns
 from rhubarbhinge.once._signer import Signer
 from rhubarbhinge.once._ticket import Ticket
+from rhubarbhinge.once._ticket_service import TicketService
 from rhubarbhinge.once._violation import Fault, Violation
 
 __all__ = [
@@ -52,7 +52,7 @@
     "Signer",
     "StartRun",
     "Ticket",
-    "TicketBook",
+    "TicketService",
     "Violation",
     "body_digest",
     "check_history",
--- a/rhubarbhinge/once/_effects.py
+++ b/rhubarbhinge/once/_effects.py
@@ -38,7 +38,7 @@
 class StartRun:
     """Send a ticket, which is already marked as consumed, to one relay.
 
-    The daemon must call ``TicketBook.on_send`` immediately before it sends the first byte.
+    The daemon must call ``TicketService.on_send`` immediately before it sends the first byte.
 
     :param ticket: the ticket's text.
     :param action: name of the action.
--- a/rhubarbhinge/once/_book.py
+++ b/rhubarbhinge/once/_ticket_service.py
@@ -28,7 +28,7 @@
 from rhubarbhinge.wire._ticket_forward_reply import TicketForwardReply
 
 
-class TicketBook:
+class TicketService:
     """The tickets of one entry, without I/O: methods return the effects to carry out.
 
     Its state is not persisted: no later process can run the tickets minted here.
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -14,7 +14,7 @@
     SendClaim,
     Signer,
     StartRun,
-    TicketBook,
+    TicketService,
 )
 from rhubarbhinge.wire._key_claim import KeyClaim
 from rhubarbhinge.wire._key_claim_reply import KeyClaimReply
@@ -60,7 +60,7 @@
         self.outboxes: dict[str, list[StartRun]] = {}
         self.inboxes: dict[str, list[RunRequest]] = {}
         self.split: frozenset[str] = frozenset()
-        self.books: dict[str, TicketBook] = {}
+        self.services: dict[str, TicketService] = {}
         self.keys: dict[str, KeyBook] = {}
         self.guards: dict[str, RunGuard] = {}
         for name in ENTRIES:
@@ -74,7 +74,7 @@
         offset_ms = CLOCK_OFFSETS_MS[name]
         keys = KeyBook(name, self.incarnations, SETTINGS, started_ms + offset_ms)
         signer = Signer(KEY, name, self.incarnations)
-        self.books[name] = TicketBook(signer, keys, SETTINGS)
+        self.services[name] = TicketService(signer, keys, SETTINGS)
         self.keys[name] = keys
         self.outboxes[name] = []
         self.refresh_list(name)
@@ -96,7 +96,7 @@
 
     def tick(self, entry: str) -> None:
         """Tick an entry, so that it ends overdue work."""
-        self.act(entry, lambda book, now_ms: book.tick(now_ms))
+        self.act(entry, lambda service, now_ms: service.tick(now_ms))
 
     def flush(self) -> None:
         """Deliver the messages in transit, and those sent in response, in order."""
@@ -117,24 +117,26 @@
     def mint(self, entry: str, body: bytes, key: str | None) -> int:
         """Send a request without a ticket."""
         request = self._new_request(None, key, body)
-        self.act(entry, lambda book, now_ms: book.on_mint(request, "order", body, key, now_ms))
+        self.act(
+            entry, lambda service, now_ms: service.on_mint(request, "order", body, key, now_ms)
+        )
         return request
 
     def run(self, entry: str, ticket: str, body: bytes) -> int:
         """Send a request with a ticket."""
         request = self._new_request(ticket, None, body)
-        self.act(entry, lambda book, now_ms: book.on_run(request, ticket, body, now_ms))
+        self.act(entry, lambda service, now_ms: service.on_run(request, ticket, body, now_ms))
         return request
 
     def read(self, entry: str, ticket: str) -> int:
         """Read a ticket's outcome."""
         request = self._new_request(ticket, None, b"")
-        self.act(entry, lambda book, now_ms: book.on_read(request, ticket, now_ms))
+        self.act(entry, lambda service, now_ms: service.on_read(request, ticket, now_ms))
         return request
 
-    def act(self, entry: str, step: Callable[[TicketBook, int], list]) -> None:
+    def act(self, entry: str, step: Callable[[TicketService, int], list]) -> None:
         """Call an entry and apply the effects that it returns."""
-        for effect in step(self.books[entry], self.clock(entry)):
+        for effect in step(self.services[entry], self.clock(entry)):
             self._apply_effect(entry, effect)
 
     def send_run(self, entry: str, relay: str) -> None:
@@ -142,13 +144,13 @@
         if not self.outboxes[entry]:
             return
         start = self.outboxes[entry].pop(0)
-        permit = self.books[entry].on_send(start.ticket, self.clock(entry))
+        permit = self.services[entry].on_send(start.ticket, self.clock(entry))
         for effect in permit.effects:
             self._apply_effect(entry, effect)
         if not permit.send:
             return
         self.history.append(f"send {start.ticket} {relay}")
-        sender = self.books[entry]._signer.incarnation
+        sender = self.services[entry]._signer.incarnation
         receiver = self.guards[relay]._incarnation
         relay_deadline_ms = start.deadline_ms - self.clock(entry) + self.clock(relay)
         message = RunRequest(
@@ -244,14 +246,14 @@
             case RunReply():
                 self._run_reply(name, message)
             case TicketForward():
-                self.act(name, lambda book, now_ms: book.on_forwarded(message, now_ms))
+                self.act(name, lambda service, now_ms: service.on_forwarded(message, now_ms))
             case KeyClaim():
-                reply = self.books[name].on_key_claim(message, now_ms)
+                reply = self.services[name].on_key_claim(message, now_ms)
                 self.network.append((name, message.from_entry, reply))
             case KeyClaimReply():
-                self.act(name, lambda book, now_ms: book.on_key_reply(message, now_ms))
+                self.act(name, lambda service, now_ms: service.on_key_reply(message, now_ms))
             case _:
-                self.act(name, lambda book, now_ms: book.on_forward_result(message, now_ms))
+                self.act(name, lambda service, now_ms: service.on_forward_result(message, now_ms))
 
     def _relay_receive(self, relay: str, request: RunRequest) -> None:
         reply = self.guards[relay].on_request(request, self.clock(relay))
@@ -261,11 +263,14 @@
             self.network.append((relay, request.entry, reply))
 
     def _run_reply(self, entry: str, reply: RunReply) -> None:
-        if reply.entry_incarnation != self.books[entry]._signer.incarnation:
+        if reply.entry_incarnation != self.services[entry]._signer.incarnation:
             return
         kind = OutcomeKind(reply.kind)
         self.act(
-            entry, lambda b, now_ms: b.on_upstream(reply.ticket, kind, reply.result, 0, now_ms)
+            entry,
+            lambda service, now_ms: service.on_upstream(
+                reply.ticket, kind, reply.result, 0, now_ms
+            ),
         )
 
     def _upstream(self, request: RunRequest, result: int) -> RunReply:
--- a/rhubarbhinge/once/tests/test_schedules.py
+++ b/rhubarbhinge/once/tests/test_schedules.py
@@ -74,8 +74,10 @@
             fleet.split = frozenset() if fleet.split else frozenset({entry, relay})
         case "gone":
             other = ENTRIES[second % len(ENTRIES)]
-            incarnation = fleet.books[other]._signer.incarnation
-            fleet.act(entry, lambda b, now_ms: b.on_peer_gone(other, incarnation, now_ms))
+            incarnation = fleet.services[other]._signer.incarnation
+            fleet.act(
+                entry, lambda service, now_ms: service.on_peer_gone(other, incarnation, now_ms)
+            )
         case "list":
             fleet.listed ^= {entry}
 
--- a/rhubarbhinge/once/tests/test_book.py
+++ b/rhubarbhinge/once/tests/test_ticket_service.py
@@ -11,10 +11,10 @@
 BODY = BODIES[0]
 
 
-class BookTest(unittest.TestCase):
+class TicketServiceTest(unittest.TestCase):
     def setUp(self):
         self.fleet = Fleet()
-        self.book = self.fleet.books[OWNER]
+        self.service = self.fleet.services[OWNER]
         self.ticket = self.mint()
 
     def mint(self) -> str:
@@ -26,11 +26,13 @@
 
     def upstream(self, kind: OutcomeKind, payload: bytes = b"") -> None:
         ticket, fleet = self.ticket, self.fleet
-        fleet.act(OWNER, lambda book, now_ms: book.on_upstream(ticket, kind, payload, 7, now_ms))
+        fleet.act(
+            OWNER, lambda service, now_ms: service.on_upstream(ticket, kind, payload, 7, now_ms)
+        )
 
     def start_and_send(self) -> int:
         request = self.fleet.run(OWNER, self.ticket, BODY)
-        self.assertTrue(self.book.on_send(self.ticket, self.fleet.now_ms).send)
+        self.assertTrue(self.service.on_send(self.ticket, self.fleet.now_ms).send)
         return request
 
     def test_read_never_runs_the_ticket(self):
@@ -46,7 +48,7 @@
 
     def test_send_permit_is_given_once(self):
         self.start_and_send()
-        self.assertFalse(self.book.on_send(self.ticket, self.fleet.now_ms).send)
+        self.assertFalse(self.service.on_send(self.ticket, self.fleet.now_ms).send)
 
     def test_process_suspended_before_the_send_does_not_send(self):
         request = self.fleet.run(OWNER, self.ticket, BODY)
@@ -59,7 +61,7 @@
         self.fleet.sleep(SETTINGS.lifetime_ms - 1)
         self.fleet.run(OWNER, self.ticket, BODY)
         self.fleet.sleep(1)
-        self.assertFalse(self.book.on_send(self.ticket, self.fleet.now_ms).send)
+        self.assertFalse(self.service.on_send(self.ticket, self.fleet.now_ms).send)
 
     def test_expiry(self):
         self.fleet.sleep(SETTINGS.lifetime_ms)
@@ -118,12 +120,12 @@
         )
 
     def test_drain_stops_minting_and_lets_tickets_run(self):
-        report = self.book.drain(self.fleet.now_ms)
+        report = self.service.drain(self.fleet.now_ms)
         self.assertEqual((1, 0, 0, SETTINGS.lifetime_ms), _fields(report))
         refused = self.fleet.mint(OWNER, BODY, None)
         self.assertEqual(("refused_not_run", "draining"), self.code(refused))
         self.start_and_send()
-        self.assertEqual((0, 1, 0, SETTINGS.run_ms), _fields(self.book.drain(self.fleet.now_ms)))
+        self.assertEqual((0, 1, 0, SETTINGS.run_ms), _fields(self.service.drain(self.fleet.now_ms)))
 
     def test_restarted_owner_does_not_know_the_ticket(self):
         asked = self.fleet.run(OTHER, self.ticket, BODY)
@@ -143,11 +145,11 @@
         """Guards against reporting unknown when a running owner has not received the ticket."""
         asked = self.fleet.run(OTHER, self.ticket, BODY)
         forwarded = self.fleet.network.pop()
-        self.fleet.act(OTHER, lambda book, now_ms: book.on_link_lost(OWNER, now_ms))
+        self.fleet.act(OTHER, lambda service, now_ms: service.on_link_lost(OWNER, now_ms))
         self.assertNotIn(asked, self.fleet.answers)
-        incarnation = self.book._signer.incarnation
+        incarnation = self.service._signer.incarnation
         for _ in range(2):
-            self.fleet.act(OTHER, lambda book, _: book.on_link_up(OWNER, incarnation))
+            self.fleet.act(OTHER, lambda service, _: service.on_link_up(OWNER, incarnation))
         self.assertEqual([forwarded, forwarded], self.fleet.network)
         self.fleet.settle()
         self.assertEqual(("ran", "done"), self.code(asked))
@@ -158,28 +160,28 @@
         self.fleet.run(OTHER, self.ticket, BODY)
         _, _, call = self.fleet.network.pop()
         for _ in range(SETTINGS.most_waiters + 2):
-            self.fleet.act(OWNER, lambda book, now_ms: book.on_forwarded(call, now_ms))
+            self.fleet.act(OWNER, lambda service, now_ms: service.on_forwarded(call, now_ms))
         self.assertEqual([], self.fleet.network)
 
     def test_call_is_not_resent_to_another_incarnation_of_the_owner(self):
         self.fleet.run(OTHER, self.ticket, BODY)
         self.fleet.network.clear()
-        incarnation = self.book._signer.incarnation + 1
-        self.fleet.act(OTHER, lambda book, _: book.on_link_up(OWNER, incarnation))
+        incarnation = self.service._signer.incarnation + 1
+        self.fleet.act(OTHER, lambda service, _: service.on_link_up(OWNER, incarnation))
         self.assertEqual([], self.fleet.network)
-        self.assertEqual({(OWNER, incarnation - 1)}, self.fleet.books[OTHER].owners_asked())
+        self.assertEqual({(OWNER, incarnation - 1)}, self.fleet.services[OTHER].owners_asked())
 
     def test_invalid_tickets_are_unknown(self):
         wrong = self.ticket[:-1] + ("A" if self.ticket[-1] != "A" else "Q")
         for text in ("", "x" * 40, wrong):
-            effects = self.book.on_run(99, text, BODY, self.fleet.now_ms)
+            effects = self.service.on_run(99, text, BODY, self.fleet.now_ms)
             self.assertIsInstance(effects[0], AnswerOutcome)
             self.assertEqual(OutcomeKind.UNKNOWN, effects[0].outcome.kind)
 
     def test_ticket_is_consumed_before_the_run_starts(self):
-        effects = self.book.on_run(98, self.ticket, BODY, self.fleet.now_ms)
+        effects = self.service.on_run(98, self.ticket, BODY, self.fleet.now_ms)
         self.assertIsInstance(effects[0], StartRun)
-        self.assertEqual([], self.book.on_run(99, self.ticket, BODY, self.fleet.now_ms))
+        self.assertEqual([], self.service.on_run(99, self.ticket, BODY, self.fleet.now_ms))
 
 
 class KeyTest(unittest.TestCase):
@@ -196,7 +198,7 @@
 
     def test_every_entry_returns_the_same_ticket(self):
         self.assertEqual({self.ticket}, {self.ask(entry).ticket for entry in ENTRIES})
-        self.assertEqual([0, 0, 1], sorted(self.fleet.books[name].held for name in ENTRIES))
+        self.assertEqual([0, 0, 1], sorted(self.fleet.services[name].held for name in ENTRIES))
 
     def test_another_body_is_refused(self):
         self.assertEqual("key-mismatch", self.ask(OWNER, BODIES[1]).code)
@@ -206,11 +208,11 @@
         self.assertEqual(self.ticket, self.ask(self.third).ticket)
 
     def test_refused_request_with_a_key_is_unknown(self):
-        book = self.fleet.books[self.third]
+        service = self.fleet.services[self.third]
         for _ in range(SETTINGS.most_tickets):
             self.fleet.mint(self.third, BODY, None)
         self.assertEqual(("unknown", "tickets-full"), self.kind_and_code())
-        book.drain(self.fleet.clock(self.third))
+        service.drain(self.fleet.clock(self.third))
         self.assertEqual(("unknown", "draining"), self.kind_and_code())
 
     def kind_and_code(self) -> tuple[str, str]:
