--- a/rhubarbhinge/daemons/_runs.py
+++ b/rhubarbhinge/daemons/_runs.py
@@ -14,7 +14,7 @@
     AnswerRedirect,
     Effect,
     Forward,
-    KeyBook,
+    IdempotencyKeys,
     OnceSettings,
     Outcome,
     OutcomeKind,
@@ -82,7 +82,7 @@
         self._metrics = metrics
         settings = OnceSettings()
         signer = Signer(key, identity.name, identity.incarnation)
-        self._keys = KeyBook(identity.name, identity.incarnation, settings, self._now_ms())
+        self._keys = IdempotencyKeys(identity.name, identity.incarnation, settings, self._now_ms())
         self._tickets = TicketService(signer, self._keys, settings)
         self._open: dict[int, tuple[Responder, str]] = {}
         self._relay_runs = RelayRuns(
--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -13,9 +13,9 @@
 )
 from rhubarbhinge.once._guard import RunGuard
 from rhubarbhinge.once._history import check_history
+from rhubarbhinge.once._idempotency_keys import IdempotencyKeys
 from rhubarbhinge.once._incarnation import draw_incarnation
 from rhubarbhinge.once._invalid_ticket import InvalidTicket
-from rhubarbhinge.once._keybook import KeyBook
 from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind, kind_of
 from rhubarbhinge.once._outcome_codes import Code
@@ -37,7 +37,7 @@
     "Fault",
     "Forward",
     "InvalidTicket",
-    "KeyBook",
+    "IdempotencyKeys",
     "LocalRequester",
     "OnceSettings",
     "Outcome",
--- a/rhubarbhinge/once/_keybook.py
+++ b/rhubarbhinge/once/_idempotency_keys.py
@@ -40,7 +40,7 @@
         return self.owners[0] if self.step is KeyClaimStep.ORDER else self.owners[-1]
 
 
-class KeyBook:
+class IdempotencyKeys:
     """Idempotency keys: claims made by this entry, and keys owned by it.
 
     A claim is sent to the first owner, which orders the claims of a key, and then, with the ticket
--- a/rhubarbhinge/once/_ticket_service.py
+++ b/rhubarbhinge/once/_ticket_service.py
@@ -10,9 +10,9 @@
     SendClaim,
 )
 from rhubarbhinge.once._forwards import ForwardTable, PendingForward
+from rhubarbhinge.once._idempotency_keys import IdempotencyKeys
 from rhubarbhinge.once._invalid_ticket import InvalidTicket
 from rhubarbhinge.once._key_results import KeyBound, KeyEffect, KeyRefused
-from rhubarbhinge.once._keybook import KeyBook
 from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind, kind_of
 from rhubarbhinge.once._outcome_codes import Code, not_run, unknown
@@ -38,7 +38,7 @@
     :param settings: limits.
     """
 
-    def __init__(self, signer: Signer, keys: KeyBook, settings: OnceSettings):
+    def __init__(self, signer: Signer, keys: IdempotencyKeys, settings: OnceSettings):
         self._signer = signer
         self._keys = keys
         self._settings = settings
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -6,7 +6,7 @@
     AnswerOutcome,
     AnswerRedirect,
     Forward,
-    KeyBook,
+    IdempotencyKeys,
     OnceSettings,
     OutcomeKind,
     ReplyForward,
@@ -61,7 +61,7 @@
         self.inboxes: dict[str, list[RunRequest]] = {}
         self.split: frozenset[str] = frozenset()
         self.services: dict[str, TicketService] = {}
-        self.keys: dict[str, KeyBook] = {}
+        self.keys: dict[str, IdempotencyKeys] = {}
         self.guards: dict[str, RunGuard] = {}
         for name in ENTRIES:
             self.start_entry(name, self.started_ms)
@@ -72,7 +72,7 @@
         """Start or restart an entry, which loses all state and unsent messages."""
         self.incarnations += 1
         offset_ms = CLOCK_OFFSETS_MS[name]
-        keys = KeyBook(name, self.incarnations, SETTINGS, started_ms + offset_ms)
+        keys = IdempotencyKeys(name, self.incarnations, SETTINGS, started_ms + offset_ms)
         signer = Signer(KEY, name, self.incarnations)
         self.services[name] = TicketService(signer, keys, SETTINGS)
         self.keys[name] = keys
