--- a/rhubarbhinge/daemons/_relaywork.py
+++ b/rhubarbhinge/daemons/_relaywork.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.daemons._poolshell import PoolOutput, PoolShell
 from rhubarbhinge.daemons._relayparts import RelayParts
 from rhubarbhinge.daemons._replyoutbox import ReplyOutbox
-from rhubarbhinge.once import OnceSettings, RunGuard, RunResults
+from rhubarbhinge.once import OnceSettings, RunDeduplicator, RunResults
 from rhubarbhinge.routing import (
     DropPeer,
     PublishHolding,
@@ -48,7 +48,7 @@
         self._publish = publish
         self._drop = drop
         once = OnceSettings()
-        self._guard = RunGuard(
+        self._deduplicator = RunDeduplicator(
             identity.name,
             identity.incarnation,
             once.lifetime_ms + once.keep_ms,
@@ -88,7 +88,7 @@
         self._pool.carry_out(self.core.on_peer_gone(entry, self._timers.now_ms()))
         for ticket in self._results.open_of(entry):
             if not self.core.knows_ticket(ticket):
-                self._guard.withdraw(ticket)
+                self._deduplicator.withdraw(ticket)
                 self._results.withdraw(ticket)
 
     def own(
@@ -174,7 +174,7 @@
 
     def _new_run(self, entry: str, request: RunRequest) -> None:
         now_ms = self._timers.now_ms()
-        refusal = self._guard.on_request(request, int(now_ms))
+        refusal = self._deduplicator.on_request(request, int(now_ms))
         if refusal is not None:
             self._send(entry, refusal)
             return
--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -11,7 +11,6 @@
     SendClaim,
     StartRun,
 )
-from rhubarbhinge.once._guard import RunGuard
 from rhubarbhinge.once._history import check_history
 from rhubarbhinge.once._idempotency_keys import IdempotencyKeys
 from rhubarbhinge.once._incarnation import draw_incarnation
@@ -20,6 +19,7 @@
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind, kind_of
 from rhubarbhinge.once._outcome_codes import Code
 from rhubarbhinge.once._requester import LocalRequester, PeerRequester
+from rhubarbhinge.once._run_deduplicator import RunDeduplicator
 from rhubarbhinge.once._run_results import RunResults
 from rhubarbhinge.once._send_permit import SendPermit
 from rhubarbhinge.once._sent_runs import SentRuns
@@ -44,7 +44,7 @@
     "OutcomeKind",
     "PeerRequester",
     "ReplyForward",
-    "RunGuard",
+    "RunDeduplicator",
     "RunResults",
     "SendClaim",
     "SendPermit",
--- a/rhubarbhinge/once/_guard.py
+++ b/rhubarbhinge/once/_run_deduplicator.py
@@ -15,7 +15,7 @@
     sent: bool = False
 
 
-class RunGuard:
+class RunDeduplicator:
     """Remembers the tickets that a relay has received, and refuses duplicates.
 
     A restarted relay has no record of earlier tickets. An entry therefore sends a ticket to one
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -10,7 +10,7 @@
     OnceSettings,
     OutcomeKind,
     ReplyForward,
-    RunGuard,
+    RunDeduplicator,
     SendClaim,
     Signer,
     StartRun,
@@ -62,7 +62,7 @@
         self.split: frozenset[str] = frozenset()
         self.services: dict[str, TicketService] = {}
         self.keys: dict[str, IdempotencyKeys] = {}
-        self.guards: dict[str, RunGuard] = {}
+        self.deduplicators: dict[str, RunDeduplicator] = {}
         for name in ENTRIES:
             self.start_entry(name, self.started_ms)
         for name in RELAYS:
@@ -111,7 +111,9 @@
     def start_relay(self, name: str) -> None:
         """Start or restart a relay."""
         self.incarnations += 1
-        self.guards[name] = RunGuard(name, self.incarnations, SETTINGS.key_window_ms, 100)
+        self.deduplicators[name] = RunDeduplicator(
+            name, self.incarnations, SETTINGS.key_window_ms, 100
+        )
         self.inboxes[name] = []
 
     def mint(self, entry: str, body: bytes, key: str | None) -> int:
@@ -151,7 +153,7 @@
             return
         self.history.append(f"send {start.ticket} {relay}")
         sender = self.services[entry]._signer.incarnation
-        receiver = self.guards[relay]._incarnation
+        receiver = self.deduplicators[relay]._incarnation
         relay_deadline_ms = start.deadline_ms - self.clock(entry) + self.clock(relay)
         message = RunRequest(
             entry,
@@ -170,7 +172,7 @@
         if not self.inboxes.get(relay):
             return
         request = self.inboxes[relay].pop(0)
-        reply = self.guards[relay].may_send(request, self.clock(relay))
+        reply = self.deduplicators[relay].may_send(request, self.clock(relay))
         if reply is None:
             reply = self._upstream(request, result)
         self.network.append((relay, request.entry, reply))
@@ -256,7 +258,7 @@
                 self.act(name, lambda service, now_ms: service.on_forward_result(message, now_ms))
 
     def _relay_receive(self, relay: str, request: RunRequest) -> None:
-        reply = self.guards[relay].on_request(request, self.clock(relay))
+        reply = self.deduplicators[relay].on_request(request, self.clock(relay))
         if reply is None:
             self.inboxes[relay].append(request)
         else:
--- a/rhubarbhinge/once/tests/test_ticket_service.py
+++ b/rhubarbhinge/once/tests/test_ticket_service.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from rhubarbhinge.once import AnswerOutcome, AnswerRedirect, OutcomeKind, RunGuard, StartRun
+from rhubarbhinge.once import AnswerOutcome, AnswerRedirect, OutcomeKind, RunDeduplicator, StartRun
 from rhubarbhinge.once.tests._fakes import BODIES, ENTRIES, KEYS, SETTINGS, Fleet
 from rhubarbhinge.wire._run_request import RunRequest
 
@@ -292,9 +292,9 @@
         self.assertNotEqual(self.ticket, self.ask(self.third).ticket)
 
 
-class GuardTest(unittest.TestCase):
+class RunDeduplicatorTest(unittest.TestCase):
     def setUp(self):
-        self.guard = RunGuard("a/relay", 5, window_ms=100, max_tickets=2)
+        self.deduplicator = RunDeduplicator("a/relay", 5, window_ms=100, max_tickets=2)
 
     def request(self, ticket: str, incarnation: int = 5, deadline_ms: int = 10) -> RunRequest:
         return RunRequest("a/entry", 1, "a/relay", incarnation, ticket, "order", b"", deadline_ms)
@@ -304,27 +304,27 @@
 
     def test_ticket_is_sent_once(self):
         request = self.request("t")
-        found = [self.guard.on_request(request, 0), self.guard.may_send(request, 9)]
-        found += [self.guard.on_request(request, 9), self.guard.may_send(request, 9)]
+        found = [self.deduplicator.on_request(request, 0), self.deduplicator.may_send(request, 9)]
+        found += [self.deduplicator.on_request(request, 9), self.deduplicator.may_send(request, 9)]
         again = ("unknown", "run-duplicate")
         self.assertEqual([None, None, again, again], self.codes(*found))
 
     def test_suspended_relay_does_not_send(self):
         request = self.request("t")
-        found = [self.guard.on_request(request, 0), self.guard.may_send(request, 10)]
+        found = [self.deduplicator.on_request(request, 0), self.deduplicator.may_send(request, 10)]
         self.assertEqual([None, ("refused_not_run", "late-send")], self.codes(*found))
 
     def test_delayed_message_is_not_run(self):
-        found = self.guard.on_request(self.request("t"), 10)
+        found = self.deduplicator.on_request(self.request("t"), 10)
         self.assertEqual([("refused_not_run", "late-send")], self.codes(found))
 
     def test_restarted_relay_refuses_messages_to_its_previous_incarnation(self):
-        found = self.guard.on_request(self.request("t", incarnation=4), 0)
+        found = self.deduplicator.on_request(self.request("t", incarnation=4), 0)
         self.assertEqual([("unknown", "ticket-other-incarnation")], self.codes(found))
 
     def test_number_of_remembered_tickets_is_limited(self):
-        found = [self.guard.on_request(self.request(name), 0) for name in "abc"]
-        found.append(self.guard.on_request(self.request("c", deadline_ms=110), 100))
+        found = [self.deduplicator.on_request(self.request(name), 0) for name in "abc"]
+        found.append(self.deduplicator.on_request(self.request("c", deadline_ms=110), 100))
         self.assertEqual(
             [None, None, ("refused_not_run", "tickets-full"), None], self.codes(*found)
         )
