--- a/rhubarbhinge/api/_render.py
+++ b/rhubarbhinge/api/_render.py
@@ -6,7 +6,7 @@
 
 from rhubarbhinge.api._apierror import ApiError
 from rhubarbhinge.once import Outcome, OutcomeKind
-from rhubarbhinge.query import Answer, Missing, Shortfall
+from rhubarbhinge.query import Answer, MissingRange, Shortfall
 from rhubarbhinge.web import Response
 
 _STATUS = {OutcomeKind.RAN: 200, OutcomeKind.REFUSED_NOT_RUN: 503, OutcomeKind.UNKNOWN: 504}
@@ -114,7 +114,7 @@
     }
 
 
-def _missing(missing: Missing) -> dict:
+def _missing(missing: MissingRange) -> dict:
     return {
         "lo": missing.lo,
         "hi": missing.hi,
--- a/rhubarbhinge/api/tests/test_api.py
+++ b/rhubarbhinge/api/tests/test_api.py
@@ -10,7 +10,7 @@
 
 from rhubarbhinge import api
 from rhubarbhinge.once import Outcome, OutcomeKind
-from rhubarbhinge.query import Answer, Missing, QueryStats, Shortfall
+from rhubarbhinge.query import Answer, MissingRange, QueryStats, Shortfall
 from rhubarbhinge.register import parse_register, parse_rules
 from rhubarbhinge.register.tests.documents import rules
 
@@ -127,7 +127,7 @@
     @given(st.integers(1, 2**64 - 1), st.data())
     def test_the_fraction_is_never_rounded_up(self, total, data):
         covered = data.draw(st.integers(0, total) | st.integers(max(0, total - 3), total))
-        gap = Missing(9, KEYS, total - covered, "deadline")
+        gap = MissingRange(9, KEYS, total - covered, "deadline")
         missing = (gap,) if covered < total else ()
         found = answer(covered, total, missing)
         for response in (api.answer(found, {}), api.shortfall(Shortfall(found, 1.0, 9.0))):
@@ -139,7 +139,7 @@
             self.assertEqual(len(missing), len(coverage["missing"]))
 
     def test_a_collection_without_records_is_covered_unless_ranges_are_missing(self):
-        for missing, fraction in (((), 1.0), ((Missing(0, KEYS, None, "no-replica"),), 0.0)):
+        for missing, fraction in (((), 1.0), ((MissingRange(0, KEYS, None, "no-replica"),), 0.0)):
             body = orjson.loads(api.answer(answer(0, 0, missing), {}).body)
             self.assertEqual(fraction, body["coverage"]["fraction"])
 
--- a/rhubarbhinge/daemons/_searches.py
+++ b/rhubarbhinge/daemons/_searches.py
@@ -13,7 +13,7 @@
     Answer,
     Catalog,
     Effect,
-    Missing,
+    MissingRange,
     QueryCore,
     QueryPolicy,
     QueryStats,
@@ -272,7 +272,7 @@
             for missing in answer.missing[:_MOST_RANGES_LOGGED]
         )
 
-    def _holders(self, answer: Answer, missing: Missing) -> str:
+    def _holders(self, answer: Answer, missing: MissingRange) -> str:
         numbers = self._catalog.holders(answer.collection, answer.version, missing.lo, missing.hi)
         names = {upstream_id(each.name): each.name for each in self._config.register.upstreams}
         return " ".join(
--- a/rhubarbhinge/query/__init__.py
+++ b/rhubarbhinge/query/__init__.py
@@ -6,7 +6,7 @@
 from rhubarbhinge.query._extra_load_budget import ExtraLoadBudget
 from rhubarbhinge.query._key_range import KeyRange
 from rhubarbhinge.query._latency_histogram import LatencyHistogram
-from rhubarbhinge.query._missing import Missing
+from rhubarbhinge.query._missing_range import MissingRange
 from rhubarbhinge.query._plan import Gap, Plan
 from rhubarbhinge.query._policy import QueryPolicy
 from rhubarbhinge.query._range_selection import select_ranges
@@ -24,7 +24,7 @@
     "Gap",
     "KeyRange",
     "LatencyHistogram",
-    "Missing",
+    "MissingRange",
     "Plan",
     "QueryCore",
     "QueryPolicy",
--- a/rhubarbhinge/query/_effects.py
+++ b/rhubarbhinge/query/_effects.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rhubarbhinge.query._missing import Missing
+from rhubarbhinge.query._missing_range import MissingRange
 from rhubarbhinge.wire import CancelBatch, SubBatch
 
 
@@ -70,7 +70,7 @@
     hits: tuple[dict, ...]
     covered_records: int
     total_records: int
-    missing: tuple[Missing, ...]
+    missing: tuple[MissingRange, ...]
     stats: QueryStats
 
     @property
--- a/rhubarbhinge/query/_merging.py
+++ b/rhubarbhinge/query/_merging.py
@@ -3,7 +3,7 @@
 import heapq
 
 from rhubarbhinge.query._effects import Answer, QueryStats
-from rhubarbhinge.query._missing import Missing
+from rhubarbhinge.query._missing_range import MissingRange
 from rhubarbhinge.query._query import Query
 
 
@@ -34,5 +34,5 @@
     return -hit["score"], str(hit["id"])
 
 
-def _first_key(missing: Missing) -> int:
+def _first_key(missing: MissingRange) -> int:
     return missing.lo
--- a/rhubarbhinge/query/_missing.py
+++ b/rhubarbhinge/query/_missing_range.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Missing:
+class MissingRange:
     """A half-open key range that an answer does not cover.
 
     :param lo: first key.
--- a/rhubarbhinge/query/_query.py
+++ b/rhubarbhinge/query/_query.py
@@ -1,7 +1,7 @@
 """State of one open query: its parts and their attempts."""
 
 from rhubarbhinge.query._key_range import KeyRange
-from rhubarbhinge.query._missing import Missing
+from rhubarbhinge.query._missing_range import MissingRange
 from rhubarbhinge.query._plan import Gap, Plan
 from rhubarbhinge.query._relay_target import RelayTarget
 from rhubarbhinge.query._search_request import SearchRequest
@@ -145,7 +145,7 @@
         self.open_parts = 0
         self.hits: list[dict] = []
         self.covered_records = 0
-        self.missing: list[Missing] = [_missing_gap(gap, plan) for gap in plan.gaps]
+        self.missing: list[MissingRange] = [_missing_gap(gap, plan) for gap in plan.gaps]
 
     def add_part(self, key_range: KeyRange) -> Part:
         """Add a part for a key range.
@@ -175,7 +175,7 @@
         self.close_part(part)
         key_range = part.key_range
         self.missing.append(
-            Missing(key_range.lo, key_range.hi, key_range.records, part.missing_reason)
+            MissingRange(key_range.lo, key_range.hi, key_range.records, part.missing_reason)
         )
 
     def next_retry_ms(self) -> float:
@@ -219,6 +219,6 @@
         return sum(part.key_range.records for part in self.parts.values() if not part.done)
 
 
-def _missing_gap(gap: Gap, plan: Plan) -> Missing:
+def _missing_gap(gap: Gap, plan: Plan) -> MissingRange:
     records = plan.total_records - plan.reachable_records() if len(plan.gaps) == 1 else None
-    return Missing(gap.lo, gap.hi, records, "no-replica")
+    return MissingRange(gap.lo, gap.hi, records, "no-replica")
