--- a/rhubarbhinge/history/_once.py
+++ b/rhubarbhinge/history/_once.py
@@ -25,7 +25,7 @@
     events = list(events)
     lines = [line for name in _missing_logs(events) for line in _assumed(events, name)]
     lines += [line for event in events for line in _lines(event)]
-    return [Violation(each.fault.value, each.subject) for each in check_history(lines)]
+    return [Violation(each.kind.value, each.subject) for each in check_history(lines)]
 
 
 def _missing_logs(events: list[Event]) -> list[str]:
--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -26,7 +26,7 @@
 from rhubarbhinge.once._signer import Signer
 from rhubarbhinge.once._ticket import Ticket
 from rhubarbhinge.once._ticket_service import TicketService
-from rhubarbhinge.once._violation import Fault, Violation
+from rhubarbhinge.once._violation import Violation, ViolationKind
 
 __all__ = [
     "AnswerOutcome",
@@ -34,7 +34,7 @@
     "Code",
     "DrainReport",
     "Effect",
-    "Fault",
+    "ViolationKind",
     "Forward",
     "InvalidTicket",
     "IdempotencyKeys",
--- a/rhubarbhinge/once/_history.py
+++ b/rhubarbhinge/once/_history.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from rhubarbhinge.once._outcome import OutcomeKind
-from rhubarbhinge.once._violation import Fault, Violation
+from rhubarbhinge.once._violation import Violation, ViolationKind
 
 _FIELDS = 3
 
@@ -45,55 +45,59 @@
     return violations
 
 
-def _check_line(state: _HistoryState, line: str) -> list[tuple[Fault, str]]:
+def _check_line(state: _HistoryState, line: str) -> list[tuple[ViolationKind, str]]:
     parts = line.split()
     if len(parts) != _FIELDS or parts[0] not in _CHECKS:
-        return [(Fault.MALFORMED, line)]
+        return [(ViolationKind.MALFORMED, line)]
     name, ticket, detail = parts
     return _CHECKS[name](state, ticket, detail)
 
 
-def _faults(checks: dict[Fault, bool], ticket: str) -> list[tuple[Fault, str]]:
+def _faults(checks: dict[ViolationKind, bool], ticket: str) -> list[tuple[ViolationKind, str]]:
     return [(fault, ticket) for fault, holds in checks.items() if holds]
 
 
-def _on_mint(state: _HistoryState, ticket: str, _detail: str) -> list[tuple[Fault, str]]:
+def _on_mint(state: _HistoryState, ticket: str, _detail: str) -> list[tuple[ViolationKind, str]]:
     state.minted.add(ticket)
     return []
 
 
-def _on_send(state: _HistoryState, ticket: str, _relay: str) -> list[tuple[Fault, str]]:
+def _on_send(state: _HistoryState, ticket: str, _relay: str) -> list[tuple[ViolationKind, str]]:
     checks = {
-        Fault.SENT_UNMINTED: ticket not in state.minted,
-        Fault.SENT_TWICE: ticket in state.sent,
-        Fault.REFUSED_THEN_SENT: ticket in state.refused,
+        ViolationKind.SENT_UNMINTED: ticket not in state.minted,
+        ViolationKind.SENT_TWICE: ticket in state.sent,
+        ViolationKind.REFUSED_THEN_SENT: ticket in state.refused,
     }
     state.sent.add(ticket)
     return _faults(checks, ticket)
 
 
-def _on_run(state: _HistoryState, ticket: str, _upstream: str) -> list[tuple[Fault, str]]:
+def _on_run(state: _HistoryState, ticket: str, _upstream: str) -> list[tuple[ViolationKind, str]]:
     checks = {
-        Fault.RAN_UNSENT: ticket not in state.sent,
-        Fault.RAN_TWICE: ticket in state.ran,
-        Fault.REFUSED_BUT_RAN: ticket in state.refused,
+        ViolationKind.RAN_UNSENT: ticket not in state.sent,
+        ViolationKind.RAN_TWICE: ticket in state.ran,
+        ViolationKind.REFUSED_BUT_RAN: ticket in state.refused,
     }
     state.ran.add(ticket)
     return _faults(checks, ticket)
 
 
-def _on_answer(state: _HistoryState, ticket: str, kind: str) -> list[tuple[Fault, str]]:
+def _on_answer(state: _HistoryState, ticket: str, kind: str) -> list[tuple[ViolationKind, str]]:
     if kind == OutcomeKind.RAN:
-        return [] if ticket in state.ran else [(Fault.ANSWERED_WITHOUT_RUN, ticket)]
+        return [] if ticket in state.ran else [(ViolationKind.ANSWERED_WITHOUT_RUN, ticket)]
     if kind == OutcomeKind.REFUSED_NOT_RUN:
         state.refused.add(ticket)
-        return [(Fault.REFUSED_BUT_RAN, ticket)] if ticket in state.ran else []
-    return [] if kind == OutcomeKind.UNKNOWN else [(Fault.MALFORMED, f"answer {ticket} {kind}")]
+        return [(ViolationKind.REFUSED_BUT_RAN, ticket)] if ticket in state.ran else []
+    return (
+        []
+        if kind == OutcomeKind.UNKNOWN
+        else [(ViolationKind.MALFORMED, f"answer {ticket} {kind}")]
+    )
 
 
-def _on_bind(state: _HistoryState, ticket: str, key: str) -> list[tuple[Fault, str]]:
+def _on_bind(state: _HistoryState, ticket: str, key: str) -> list[tuple[ViolationKind, str]]:
     first = state.bound.setdefault(key, ticket)
-    return [] if first == ticket else [(Fault.KEY_TWO_TICKETS, key)]
+    return [] if first == ticket else [(ViolationKind.KEY_TWO_TICKETS, key)]
 
 
 _CHECKS = {
--- a/rhubarbhinge/once/_violation.py
+++ b/rhubarbhinge/once/_violation.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 
-class Fault(StrEnum):
+class ViolationKind(StrEnum):
     """The guarantee that was violated."""
 
     MALFORMED = "malformed"
@@ -22,11 +22,11 @@
 class Violation:
     """A violated guarantee in a history.
 
-    :param fault: the guarantee.
+    :param kind: the guarantee.
     :param line: number of the line that shows the violation, counted from 1.
     :param subject: the ticket, the key or the malformed line.
     """
 
-    fault: Fault
+    kind: ViolationKind
     line: int
     subject: str
--- a/rhubarbhinge/once/tests/test_history.py
+++ b/rhubarbhinge/once/tests/test_history.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbhinge.once import Fault, check_history
+from rhubarbhinge.once import ViolationKind, check_history
 
 VALID_HISTORY = [
     "mint t -",
@@ -16,8 +16,8 @@
 ]
 
 
-def faults(lines: list[str]) -> list[Fault]:
-    return [violation.fault for violation in check_history(lines)]
+def faults(lines: list[str]) -> list[ViolationKind]:
+    return [violation.kind for violation in check_history(lines)]
 
 
 class HistoryTest(unittest.TestCase):
@@ -26,17 +26,17 @@
 
     def test_each_violation_is_found(self):
         violating_lines = {
-            Fault.SENT_TWICE: ["send t r2"],
-            Fault.SENT_UNMINTED: ["send x r1"],
-            Fault.RAN_TWICE: ["run t u2"],
-            Fault.RAN_UNSENT: ["mint w -", "run w u1"],
-            Fault.REFUSED_BUT_RAN: ["answer t refused_not_run"],
-            Fault.REFUSED_THEN_SENT: ["send v r1"],
-            Fault.ANSWERED_WITHOUT_RUN: ["mint w -", "answer w ran"],
-            Fault.KEY_TWO_TICKETS: ["mint w -", "bind w k"],
-            Fault.MALFORMED: ["answer t maybe"],
+            ViolationKind.SENT_TWICE: ["send t r2"],
+            ViolationKind.SENT_UNMINTED: ["send x r1"],
+            ViolationKind.RAN_TWICE: ["run t u2"],
+            ViolationKind.RAN_UNSENT: ["mint w -", "run w u1"],
+            ViolationKind.REFUSED_BUT_RAN: ["answer t refused_not_run"],
+            ViolationKind.REFUSED_THEN_SENT: ["send v r1"],
+            ViolationKind.ANSWERED_WITHOUT_RUN: ["mint w -", "answer w ran"],
+            ViolationKind.KEY_TWO_TICKETS: ["mint w -", "bind w k"],
+            ViolationKind.MALFORMED: ["answer t maybe"],
         }
-        self.assertEqual(set(Fault), set(violating_lines))
+        self.assertEqual(set(ViolationKind), set(violating_lines))
         for fault, lines in violating_lines.items():
             with self.subTest(fault):
                 self.assertEqual([fault], faults([*VALID_HISTORY, *lines]))
@@ -44,7 +44,7 @@
     def test_run_after_a_refusal_is_reported_at_the_run(self):
         lines = ["mint t -", "send t r1", "answer t refused_not_run", "run t u1"]
         found = check_history(lines)
-        self.assertEqual([(Fault.REFUSED_BUT_RAN, 4)], [(v.fault, v.line) for v in found])
+        self.assertEqual([(ViolationKind.REFUSED_BUT_RAN, 4)], [(v.kind, v.line) for v in found])
 
     def test_malformed_lines(self):
-        self.assertEqual([Fault.MALFORMED] * 2, faults(["mint t", "sing t -"]))
+        self.assertEqual([ViolationKind.MALFORMED] * 2, faults(["mint t", "sing t -"]))
