--- a/rhubarbhinge/cli/_run_flow.py
+++ b/rhubarbhinge/cli/_run_flow.py
@@ -12,7 +12,7 @@
 
 from rhubarbhinge.cli._answers import fault_of
 from rhubarbhinge.cli._http import Caller, CallFailed, HttpAnswer, HttpCall
-from rhubarbhinge.once import Code, OutcomeKind
+from rhubarbhinge.once import OutcomeCode, OutcomeKind
 from rhubarbhinge.register import Fault
 
 RUN_PATH = "/v1/run"
@@ -23,7 +23,9 @@
 READ_PAUSE_MS = 1_000
 """Time between these, in milliseconds."""
 
-FINAL_REFUSALS = frozenset({Code.UPSTREAM_REFUSED, Code.EXPIRED_UNUSED, Code.LATE_SEND})
+FINAL_REFUSALS = frozenset(
+    {OutcomeCode.UPSTREAM_REFUSED, OutcomeCode.EXPIRED_UNUSED, OutcomeCode.LATE_SEND}
+)
 """Refusals that, read from a ticket, say of the run itself that it never took place."""
 
 _TICKET_PATH = re.compile(r"/v1/run/[A-Za-z0-9._~=-]{1,1024}")
--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -17,7 +17,7 @@
 from rhubarbhinge.once._invalid_ticket import InvalidTicket
 from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind, kind_of
-from rhubarbhinge.once._outcome_codes import Code
+from rhubarbhinge.once._outcome_codes import OutcomeCode
 from rhubarbhinge.once._requester import LocalRequester, PeerRequester
 from rhubarbhinge.once._run_deduplicator import RunDeduplicator
 from rhubarbhinge.once._run_results import RunResults
@@ -31,7 +31,7 @@
 __all__ = [
     "AnswerOutcome",
     "AnswerRedirect",
-    "Code",
+    "OutcomeCode",
     "DrainReport",
     "Effect",
     "ViolationKind",
--- a/rhubarbhinge/once/_idempotency_keys.py
+++ b/rhubarbhinge/once/_idempotency_keys.py
@@ -10,16 +10,16 @@
 from rhubarbhinge.once._key_results import KeyBound, KeyEffect, KeyRefused
 from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome
-from rhubarbhinge.once._outcome_codes import Code, not_run, unknown
+from rhubarbhinge.once._outcome_codes import OutcomeCode, not_run, unknown
 from rhubarbhinge.wire._key_claim import KeyClaim
 from rhubarbhinge.wire._key_claim_reply import KeyClaimReply
 
-_CODE_BY_REPLY: dict[str, Code] = {
-    KeyReplyCode.NOT_HELD: Code.KEY_OWNER_GONE,
-    KeyReplyCode.YOUNG: Code.KEY_OWNER_YOUNG,
-    KeyReplyCode.LIST_OLD: Code.KEY_LIST_OLD,
-    KeyReplyCode.NOT_OWNER: Code.KEY_NOT_OWNER,
-    KeyReplyCode.FULL: Code.KEY_FULL,
+_CODE_BY_REPLY: dict[str, OutcomeCode] = {
+    KeyReplyCode.NOT_HELD: OutcomeCode.KEY_OWNER_GONE,
+    KeyReplyCode.YOUNG: OutcomeCode.KEY_OWNER_YOUNG,
+    KeyReplyCode.LIST_OLD: OutcomeCode.KEY_LIST_OLD,
+    KeyReplyCode.NOT_OWNER: OutcomeCode.KEY_NOT_OWNER,
+    KeyReplyCode.FULL: OutcomeCode.KEY_FULL,
 }
 
 
@@ -85,7 +85,7 @@
         """
         owners = self._owners.owners(key, now_ms)
         if not owners or not self._owners.is_current(now_ms):
-            refusal = unknown(Code.KEY_LIST_OLD, self._claim_timeout_ms)
+            refusal = unknown(OutcomeCode.KEY_LIST_OLD, self._claim_timeout_ms)
             return [KeyRefused(request, refusal, ticket)]
         deadline_ms = now_ms + self._claim_timeout_ms
         claim = _Claim(
@@ -117,10 +117,12 @@
         del self._claims[reply.call]
         if now_ms >= claim.deadline_ms:
             return [
-                self._fall_back(claim, unknown(Code.KEY_OWNER_GONE, self._claim_timeout_ms), now_ms)
+                self._fall_back(
+                    claim, unknown(OutcomeCode.KEY_OWNER_GONE, self._claim_timeout_ms), now_ms
+                )
             ]
         if reply.code != KeyReplyCode.HELD:
-            code = _CODE_BY_REPLY.get(reply.code, Code.KEY_OWNER_GONE)
+            code = _CODE_BY_REPLY.get(reply.code, OutcomeCode.KEY_OWNER_GONE)
             return [self._fall_back(claim, unknown(code, reply.retry_after_ms), now_ms)]
         return [self._on_held(claim, reply)]
 
@@ -164,17 +166,17 @@
     def _on_held(self, claim: _Claim, reply: KeyClaimReply) -> KeyEffect:
         unused = None if reply.ticket == claim.proposed else claim.proposed
         if reply.digest != claim.digest:
-            return KeyRefused(claim.request, not_run(Code.KEY_MISMATCH), unused)
+            return KeyRefused(claim.request, not_run(OutcomeCode.KEY_MISMATCH), unused)
         if claim.step is KeyClaimStep.ORDER and len(claim.owners) > 1:
             return self._ask(replace(claim, ticket=reply.ticket, step=KeyClaimStep.COPY))
         if claim.step is KeyClaimStep.COPY and reply.ticket != claim.ticket:
             return KeyRefused(
-                claim.request, unknown(Code.KEY_CONFLICT, self._claim_timeout_ms), None
+                claim.request, unknown(OutcomeCode.KEY_CONFLICT, self._claim_timeout_ms), None
             )
         return KeyBound(claim.request, reply.ticket, unused)
 
     def _give_up(self, calls: list[int], now_ms: int) -> list[KeyEffect]:
-        gone = unknown(Code.KEY_OWNER_GONE, self._claim_timeout_ms)
+        gone = unknown(OutcomeCode.KEY_OWNER_GONE, self._claim_timeout_ms)
         return [self._fall_back(self._claims.pop(call), gone, now_ms) for call in calls]
 
     def _fall_back(self, claim: _Claim, refusal: Outcome, now_ms: int) -> KeyEffect:
--- a/rhubarbhinge/once/_invalid_ticket.py
+++ b/rhubarbhinge/once/_invalid_ticket.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rhubarbhinge.once._outcome_codes import Code
+from rhubarbhinge.once._outcome_codes import OutcomeCode
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,4 +13,4 @@
         ``ticket-other-incarnation``.
     """
 
-    code: Code
+    code: OutcomeCode
--- a/rhubarbhinge/once/_run_deduplicator.py
+++ b/rhubarbhinge/once/_run_deduplicator.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from rhubarbhinge.once._outcome import OutcomeKind
-from rhubarbhinge.once._outcome_codes import Code
+from rhubarbhinge.once._outcome_codes import OutcomeCode
 from rhubarbhinge.wire._run_reply import RunReply
 from rhubarbhinge.wire._run_request import RunRequest
 
@@ -43,14 +43,14 @@
         """
         self._remove_expired(now_ms)
         if (request.relay, request.relay_incarnation) != (self._relay, self._incarnation):
-            return _reply(request, OutcomeKind.UNKNOWN, Code.OTHER_INCARNATION)
+            return _reply(request, OutcomeKind.UNKNOWN, OutcomeCode.OTHER_INCARNATION)
         if request.ticket in self._seen:
-            return _reply(request, OutcomeKind.UNKNOWN, Code.DUPLICATE)
+            return _reply(request, OutcomeKind.UNKNOWN, OutcomeCode.DUPLICATE)
         if len(self._seen) >= self._max_tickets:
-            return _reply(request, OutcomeKind.REFUSED_NOT_RUN, Code.FULL)
+            return _reply(request, OutcomeKind.REFUSED_NOT_RUN, OutcomeCode.FULL)
         deadline_ms = request.relay_deadline_ms
         if now_ms >= deadline_ms:
-            return _reply(request, OutcomeKind.REFUSED_NOT_RUN, Code.LATE_SEND)
+            return _reply(request, OutcomeKind.REFUSED_NOT_RUN, OutcomeCode.LATE_SEND)
         keep_until_ms = now_ms + self._window_ms
         self._seen[request.ticket] = _SeenTicket(deadline_ms, keep_until_ms)
         return None
@@ -64,9 +64,9 @@
         """
         seen = self._seen.get(request.ticket)
         if seen is None or seen.sent:
-            return _reply(request, OutcomeKind.UNKNOWN, Code.DUPLICATE)
+            return _reply(request, OutcomeKind.UNKNOWN, OutcomeCode.DUPLICATE)
         if now_ms >= seen.deadline_ms:
-            return _reply(request, OutcomeKind.REFUSED_NOT_RUN, Code.LATE_SEND)
+            return _reply(request, OutcomeKind.REFUSED_NOT_RUN, OutcomeCode.LATE_SEND)
         seen.sent = True
         return None
 
@@ -85,5 +85,5 @@
             del self._seen[ticket]
 
 
-def _reply(request: RunRequest, kind: OutcomeKind, code: Code) -> RunReply:
+def _reply(request: RunRequest, kind: OutcomeKind, code: OutcomeCode) -> RunReply:
     return RunReply(request.entry_incarnation, request.ticket, kind.value, code.value, 0, b"")
--- a/rhubarbhinge/once/_signer.py
+++ b/rhubarbhinge/once/_signer.py
@@ -7,7 +7,7 @@
 
 from rhubarbhinge.once._body_digest import DIGEST_BYTES
 from rhubarbhinge.once._invalid_ticket import InvalidTicket
-from rhubarbhinge.once._outcome_codes import Code
+from rhubarbhinge.once._outcome_codes import OutcomeCode
 from rhubarbhinge.once._ticket import Ticket
 
 MAC_BYTES = 16
@@ -59,12 +59,12 @@
         """
         data = _decode(text)
         if data is None:
-            return InvalidTicket(Code.MALFORMED)
+            return InvalidTicket(OutcomeCode.MALFORMED)
         packed, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
         if not hmac.compare_digest(mac, self._mac(packed)):
-            return InvalidTicket(Code.FORGED)
+            return InvalidTicket(OutcomeCode.FORGED)
         ticket = _unpack(packed)
-        return InvalidTicket(Code.MALFORMED) if ticket is None else ticket
+        return InvalidTicket(OutcomeCode.MALFORMED) if ticket is None else ticket
 
     def verify_own(self, text: str, now_ms: int) -> Ticket | InvalidTicket:
         """Verify a ticket, that this incarnation minted it, and that it has not expired.
@@ -80,8 +80,8 @@
         if isinstance(ticket, InvalidTicket):
             return ticket
         if not self.owns(ticket):
-            return InvalidTicket(Code.OTHER_INCARNATION)
-        return InvalidTicket(Code.EXPIRED) if now_ms >= ticket.expires_ms else ticket
+            return InvalidTicket(OutcomeCode.OTHER_INCARNATION)
+        return InvalidTicket(OutcomeCode.EXPIRED) if now_ms >= ticket.expires_ms else ticket
 
     def owns(self, ticket: Ticket) -> bool:
         """Return whether this incarnation minted a ticket.
--- a/rhubarbhinge/once/_ticket_service.py
+++ b/rhubarbhinge/once/_ticket_service.py
@@ -15,7 +15,7 @@
 from rhubarbhinge.once._key_results import KeyBound, KeyEffect, KeyRefused
 from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind, kind_of
-from rhubarbhinge.once._outcome_codes import Code, not_run, unknown
+from rhubarbhinge.once._outcome_codes import OutcomeCode, not_run, unknown
 from rhubarbhinge.once._outcome_effects import outcome_effect
 from rhubarbhinge.once._requester import LocalRequester, PeerRequester, Requester
 from rhubarbhinge.once._send_permit import SendPermit
@@ -71,10 +71,10 @@
         self._ticket_store.remove_expired(now_ms)
         refuse = not_run if key is None else unknown
         if self._draining:
-            return [AnswerOutcome(request, refuse(Code.DRAINING))]
+            return [AnswerOutcome(request, refuse(OutcomeCode.DRAINING))]
         full_for_ms = self._ticket_store.full_for_ms(now_ms)
         if full_for_ms:
-            return [AnswerOutcome(request, refuse(Code.FULL, full_for_ms))]
+            return [AnswerOutcome(request, refuse(OutcomeCode.FULL, full_for_ms))]
         digest = body_digest(action, body)
         text = self._ticket_store.mint(action, digest, now_ms)
         if key is None:
@@ -116,7 +116,9 @@
         own_identity = (self._signer.entry, self._signer.incarnation)
         intended_owner = (message.owner_entry, message.owner_incarnation)
         if own_identity != intended_owner or not self._signer.owns(ticket):
-            return [outcome_effect(requester, message.ticket, unknown(Code.OTHER_INCARNATION))]
+            return [
+                outcome_effect(requester, message.ticket, unknown(OutcomeCode.OTHER_INCARNATION))
+            ]
         return self._handle_own_ticket(
             requester, ticket, message.ticket, message.body, message.read, now_ms
         )
@@ -178,7 +180,7 @@
         :returns: the effects.
         """
         lost = self._forwards.close_owner(entry, incarnation)
-        effects = _give_up(lost, Code.OWNER_GONE)
+        effects = _give_up(lost, OutcomeCode.OWNER_GONE)
         return effects + self.on_link_lost(entry, now_ms)
 
     def on_link_lost(self, entry: str, now_ms: int) -> list[Effect]:
@@ -234,7 +236,7 @@
         :returns: the effects.
         """
         effects = self._ticket_store.end_late_runs(now_ms)
-        effects += _give_up(self._forwards.close_late(now_ms), Code.OWNER_SILENT)
+        effects += _give_up(self._forwards.close_late(now_ms), OutcomeCode.OWNER_SILENT)
         effects += self._apply_key_effects(self._keys.tick(now_ms), now_ms)
         self._ticket_store.remove_expired(now_ms)
         return effects
@@ -277,9 +279,9 @@
         self, request: int, ticket: Ticket, text: str, body: bytes, read: bool, now_ms: int
     ) -> list[Effect]:
         if ticket.entry == self._signer.entry:
-            return [AnswerOutcome(request, unknown(Code.OTHER_INCARNATION))]
+            return [AnswerOutcome(request, unknown(OutcomeCode.OTHER_INCARNATION))]
         if self._forwards.is_full:
-            busy = unknown(Code.FORWARDS_FULL, self._settings.forward_ms)
+            busy = unknown(OutcomeCode.FORWARDS_FULL, self._settings.forward_ms)
             return [AnswerOutcome(request, busy)]
         deadline_ms = now_ms + self._settings.forward_ms
         pending = PendingForward(
@@ -318,5 +320,5 @@
         return AnswerRedirect(effect.request, effect.ticket, remaining_ms)
 
 
-def _give_up(calls: list[PendingForward], code: Code) -> list[Effect]:
+def _give_up(calls: list[PendingForward], code: OutcomeCode) -> list[Effect]:
     return [AnswerOutcome(pending.request, unknown(code)) for pending in calls]
--- a/rhubarbhinge/once/_ticket_store.py
+++ b/rhubarbhinge/once/_ticket_store.py
@@ -5,7 +5,7 @@
 from rhubarbhinge.once._invalid_ticket import InvalidTicket
 from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind
-from rhubarbhinge.once._outcome_codes import Code, not_run, outcome, unknown
+from rhubarbhinge.once._outcome_codes import OutcomeCode, not_run, outcome, unknown
 from rhubarbhinge.once._outcome_effects import outcome_effect
 from rhubarbhinge.once._requester import Requester
 from rhubarbhinge.once._send_permit import SendPermit
@@ -121,10 +121,10 @@
         :returns: the effects; on ``StartRun`` the ticket is already marked as consumed.
         """
         if body_digest(ticket.action, body) != ticket.digest:
-            return [outcome_effect(requester, text, not_run(Code.BODY_MISMATCH))]
+            return [outcome_effect(requester, text, not_run(OutcomeCode.BODY_MISMATCH))]
         record = self._records.get(ticket.sequence)
         if record is None:
-            return [outcome_effect(requester, text, unknown(Code.EXPIRED))]
+            return [outcome_effect(requester, text, unknown(OutcomeCode.EXPIRED))]
         if record.state is TicketState.MINTED:
             return self._start(record, requester, text, body, now_ms)
         return self._wait(record, requester, text)
@@ -140,13 +140,15 @@
         """
         record = self._records.get(ticket.sequence)
         if record is None:
-            return [outcome_effect(requester, text, unknown(Code.EXPIRED))]
+            return [outcome_effect(requester, text, unknown(OutcomeCode.EXPIRED))]
         if record.state is not TicketState.MINTED:
             return self._wait(record, requester, text)
         if now_ms >= ticket.expires_ms:
             record.waiters.append(requester)
-            return self._finish(record, not_run(Code.EXPIRED_UNUSED))
-        return [outcome_effect(requester, text, unknown(Code.NOT_STARTED, NOT_STARTED_RETRY_MS))]
+            return self._finish(record, not_run(OutcomeCode.EXPIRED_UNUSED))
+        return [
+            outcome_effect(requester, text, unknown(OutcomeCode.NOT_STARTED, NOT_STARTED_RETRY_MS))
+        ]
 
     def on_send(self, text: str, now_ms: int) -> SendPermit:
         """Return whether a run may be sent, immediately before its first byte is sent.
@@ -162,7 +164,7 @@
         if record is None or record.state is not TicketState.CONSUMED:
             return SendPermit(False)
         if now_ms >= min(record.deadline_ms, record.ticket.expires_ms):
-            late = not_run(Code.LATE_SEND)
+            late = not_run(OutcomeCode.LATE_SEND)
             return SendPermit(False, tuple(self._finish(record, late)))
         record.state = TicketState.SENT
         return SendPermit(True)
@@ -205,7 +207,7 @@
             if now_ms < record.deadline_ms:
                 continue
             sent = record.state is TicketState.SENT
-            run_outcome = unknown(Code.DEADLINE) if sent else not_run(Code.LATE_SEND)
+            run_outcome = unknown(OutcomeCode.DEADLINE) if sent else not_run(OutcomeCode.LATE_SEND)
             effects += self._finish(record, run_outcome)
         return effects
 
@@ -229,7 +231,7 @@
     ) -> list[Effect]:
         if now_ms >= record.ticket.expires_ms:
             record.waiters.append(requester)
-            return self._finish(record, not_run(Code.EXPIRED_UNUSED))
+            return self._finish(record, not_run(OutcomeCode.EXPIRED_UNUSED))
         record.state = TicketState.CONSUMED
         record.deadline_ms = now_ms + self._settings.run_ms
         record.waiters.append(requester)
@@ -242,7 +244,7 @@
         if requester in record.waiters:
             return []
         if len(record.waiters) >= self._settings.most_waiters:
-            late = unknown(Code.WAITERS_FULL, self._settings.run_ms)
+            late = unknown(OutcomeCode.WAITERS_FULL, self._settings.run_ms)
             return [outcome_effect(requester, text, late)]
         record.waiters.append(requester)
         return []
@@ -257,12 +259,12 @@
 
     def _outcome_of(self, kind: OutcomeKind, payload: bytes, retry_after_ms: int) -> Outcome:
         if kind is OutcomeKind.REFUSED_NOT_RUN:
-            return not_run(Code.UPSTREAM_REFUSED, retry_after_ms)
+            return not_run(OutcomeCode.UPSTREAM_REFUSED, retry_after_ms)
         if kind is OutcomeKind.UNKNOWN:
-            return unknown(Code.UPSTREAM_UNKNOWN)
+            return unknown(OutcomeCode.UPSTREAM_UNKNOWN)
         if not self._has_room(len(payload)):
-            return outcome(kind, Code.RESULT_DROPPED)
-        return outcome(kind, Code.DONE, result=payload)
+            return outcome(kind, OutcomeCode.RESULT_DROPPED)
+        return outcome(kind, OutcomeCode.DONE, result=payload)
 
     def _has_room(self, size: int) -> bool:
         if size > self._settings.most_result_bytes:
--- a/rhubarbhinge/once/tests/test_signer.py
+++ b/rhubarbhinge/once/tests/test_signer.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rhubarbhinge.once import Code, InvalidTicket, Signer, Ticket, body_digest
+from rhubarbhinge.once import InvalidTicket, OutcomeCode, Signer, Ticket, body_digest
 
 KEY = b"0123456789abcdef"
 DIGEST = body_digest("parts-order", b"{}")
@@ -24,11 +24,13 @@
 
     def test_invalid_tickets(self):
         text = signer().mint(3, "parts-order", DIGEST, 5_000)
-        self.assertEqual(InvalidTicket(Code.EXPIRED), signer().verify_own(text, 5_000))
-        self.assertEqual(InvalidTicket(Code.OTHER_INCARNATION), signer(8).verify_own(text, 0))
-        self.assertEqual(InvalidTicket(Code.FORGED), signer(key=KEY[::-1]).verify(text))
+        self.assertEqual(InvalidTicket(OutcomeCode.EXPIRED), signer().verify_own(text, 5_000))
+        self.assertEqual(
+            InvalidTicket(OutcomeCode.OTHER_INCARNATION), signer(8).verify_own(text, 0)
+        )
+        self.assertEqual(InvalidTicket(OutcomeCode.FORGED), signer(key=KEY[::-1]).verify(text))
         for bad in ("", "a", text + "=", text + "!", "x" * 600, "\u00e9"):
-            self.assertEqual(InvalidTicket(Code.MALFORMED), signer().verify(bad))
+            self.assertEqual(InvalidTicket(OutcomeCode.MALFORMED), signer().verify(bad))
 
     @settings(derandomize=True, deadline=None, database=None)
     @given(st.data())
--- a/tools/tests/test_docs.py
+++ b/tools/tests/test_docs.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from rhubarbhinge.once import Code
+from rhubarbhinge.once import OutcomeCode
 from standins.deployment import BY_DOMAIN, LOOPBACK, LiveDeployment, Size
 from standins.fleet import Fleet
 from tools.tests._pages import ROOT, Block, anchors, blocks, links, pages
@@ -122,7 +122,7 @@
 class TableTest(unittest.TestCase):
     def test_the_callers_page_names_every_code_of_an_outcome(self):
         page = (ROOT / "docs/callers.md").read_text()
-        unnamed = [code.value for code in Code if f"`{code.value}`" not in page]
+        unnamed = [code.value for code in OutcomeCode if f"`{code.value}`" not in page]
         self.assertEqual([], unnamed)
 
     def test_the_operators_page_tells_what_to_do_about_every_event(self):
