--- a/rhubarbhinge/daemons/_runs.py
+++ b/rhubarbhinge/daemons/_runs.py
@@ -13,13 +13,13 @@
     AnswerOutcome,
     AnswerRedirect,
     Effect,
-    Forward,
     IdempotencyKeys,
     OnceSettings,
     Outcome,
     OutcomeKind,
     ReplyForward,
     SendClaim,
+    SendForward,
     SendPermit,
     Signer,
     StartRun,
@@ -238,7 +238,7 @@
                     self._answer_outcome(number, outcome)
                 case StartRun():
                     self._relay_runs.start(effect)
-                case Forward(_, owner, message):
+                case SendForward(_, owner, message):
                     if not self._send(owner, message):
                         self._give_up_gone()
                 case ReplyForward(entry, message):
--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -6,9 +6,9 @@
     AnswerOutcome,
     AnswerRedirect,
     Effect,
-    Forward,
     ReplyForward,
     SendClaim,
+    SendForward,
     StartRun,
 )
 from rhubarbhinge.once._history import check_history
@@ -35,7 +35,7 @@
     "DrainReport",
     "Effect",
     "ViolationKind",
-    "Forward",
+    "SendForward",
     "InvalidTicket",
     "IdempotencyKeys",
     "LocalRequester",
--- a/rhubarbhinge/once/_effects.py
+++ b/rhubarbhinge/once/_effects.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forward:
+class SendForward:
     """Forward a ticket to the entry that minted it.
 
     :param request: number of the caller's request.
@@ -90,4 +90,4 @@
     message: KeyClaim
 
 
-Effect = AnswerRedirect | AnswerOutcome | StartRun | Forward | ReplyForward | SendClaim
+Effect = AnswerRedirect | AnswerOutcome | StartRun | SendForward | ReplyForward | SendClaim
--- a/rhubarbhinge/once/_ticket_service.py
+++ b/rhubarbhinge/once/_ticket_service.py
@@ -6,8 +6,8 @@
     AnswerOutcome,
     AnswerRedirect,
     Effect,
-    Forward,
     SendClaim,
+    SendForward,
 )
 from rhubarbhinge.once._forwards import ForwardTable, PendingForward
 from rhubarbhinge.once._idempotency_keys import IdempotencyKeys
@@ -289,7 +289,7 @@
         )
         return [self._forward_effect(self._forwards.open(pending), pending)]
 
-    def _forward_effect(self, call: int, pending: PendingForward) -> Forward:
+    def _forward_effect(self, call: int, pending: PendingForward) -> SendForward:
         message = TicketForward(
             call,
             self._signer.entry,
@@ -300,7 +300,7 @@
             pending.body,
             pending.read,
         )
-        return Forward(pending.request, pending.owner, message)
+        return SendForward(pending.request, pending.owner, message)
 
     def _apply_key_effects(self, key_effects: list[KeyEffect], now_ms: int) -> list[Effect]:
         effects: list[Effect] = []
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -5,13 +5,13 @@
 from rhubarbhinge.once import (
     AnswerOutcome,
     AnswerRedirect,
-    Forward,
     IdempotencyKeys,
     OnceSettings,
     OutcomeKind,
     ReplyForward,
     RunDeduplicator,
     SendClaim,
+    SendForward,
     Signer,
     StartRun,
     TicketService,
@@ -211,7 +211,7 @@
                 self._answer(effect)
             case StartRun():
                 self.outboxes[entry].append(effect)
-            case Forward():
+            case SendForward():
                 self.network.append((entry, effect.owner, effect.message))
             case ReplyForward() | SendClaim():
                 self.network.append((entry, effect.entry, effect.message))
