--- a/rhubarbhinge/daemons/_runs.py
+++ b/rhubarbhinge/daemons/_runs.py
@@ -17,9 +17,9 @@
     OnceSettings,
     Outcome,
     OutcomeKind,
-    ReplyForward,
     SendClaim,
     SendForward,
+    SendForwardReply,
     SendPermit,
     Signer,
     StartRun,
@@ -241,7 +241,7 @@
                 case SendForward(_, owner, message):
                     if not self._send(owner, message):
                         self._give_up_gone()
-                case ReplyForward(entry, message):
+                case SendForwardReply(entry, message):
                     self._send(entry, message)
                 case SendClaim(entry, message):
                     self._claim(entry, message)
--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -6,9 +6,9 @@
     AnswerOutcome,
     AnswerRedirect,
     Effect,
-    ReplyForward,
     SendClaim,
     SendForward,
+    SendForwardReply,
     StartRun,
 )
 from rhubarbhinge.once._history import check_history
@@ -43,7 +43,7 @@
     "Outcome",
     "OutcomeKind",
     "PeerRequester",
-    "ReplyForward",
+    "SendForwardReply",
     "RunDeduplicator",
     "RunResults",
     "SendClaim",
--- a/rhubarbhinge/once/_effects.py
+++ b/rhubarbhinge/once/_effects.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplyForward:
+class SendForwardReply:
     """Reply to a forwarded ticket.
 
     :param entry: name of that entry.
@@ -90,4 +90,4 @@
     message: KeyClaim
 
 
-Effect = AnswerRedirect | AnswerOutcome | StartRun | SendForward | ReplyForward | SendClaim
+Effect = AnswerRedirect | AnswerOutcome | StartRun | SendForward | SendForwardReply | SendClaim
--- a/rhubarbhinge/once/_outcome_effects.py
+++ b/rhubarbhinge/once/_outcome_effects.py
@@ -1,6 +1,6 @@
 """Effects that report an outcome to its requester."""
 
-from rhubarbhinge.once._effects import AnswerOutcome, ReplyForward
+from rhubarbhinge.once._effects import AnswerOutcome, SendForwardReply
 from rhubarbhinge.once._outcome import Outcome
 from rhubarbhinge.once._requester import LocalRequester, Requester
 from rhubarbhinge.wire._ticket_forward_reply import TicketForwardReply
@@ -8,7 +8,7 @@
 
 def outcome_effect(
     requester: Requester, ticket: str, outcome: Outcome
-) -> AnswerOutcome | ReplyForward:
+) -> AnswerOutcome | SendForwardReply:
     """Return the effect that reports an outcome to its requester.
 
     :param requester: a caller's request, or a call from another entry.
@@ -29,4 +29,4 @@
         outcome.retry_after_ms,
         outcome.result,
     )
-    return ReplyForward(requester.entry, reply)
+    return SendForwardReply(requester.entry, reply)
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -8,10 +8,10 @@
     IdempotencyKeys,
     OnceSettings,
     OutcomeKind,
-    ReplyForward,
     RunDeduplicator,
     SendClaim,
     SendForward,
+    SendForwardReply,
     Signer,
     StartRun,
     TicketService,
@@ -213,7 +213,7 @@
                 self.outboxes[entry].append(effect)
             case SendForward():
                 self.network.append((entry, effect.owner, effect.message))
-            case ReplyForward() | SendClaim():
+            case SendForwardReply() | SendClaim():
                 self.network.append((entry, effect.entry, effect.message))
 
     def _redirect(self, effect: AnswerRedirect) -> None:
