--- a/rhubarbhinge/daemons/_relayruns.py
+++ b/rhubarbhinge/daemons/_relayruns.py
@@ -210,7 +210,7 @@
     def _usable_upstreams(self, action: str) -> list[int]:
         known: Action | None = self._config.register.action(action)
         numbers = [upstream_id(name) for name in known.upstreams] if known else []
-        return [number for number in numbers if self._catalog.usable(number)]
+        return [number for number in numbers if self._catalog.is_usable(number)]
 
     def _refuse(self, ticket: str) -> None:
         self._end(ticket, OutcomeKind.REFUSED_NOT_RUN, b"", _TARGET_RETRY_MS)
--- a/rhubarbhinge/query/_catalog.py
+++ b/rhubarbhinge/query/_catalog.py
@@ -53,13 +53,13 @@
         :param upstream_id: the searcher.
         :param state: its state, as reported by its relay.
         """
-        was_usable = self.usable(upstream_id)
+        was_usable = self.is_usable(upstream_id)
         self._state_by_upstream[upstream_id] = state
         if state is UpstreamState.DRAINING:
             self._draining.add(upstream_id)
         elif state in _REACHABLE_STATES:
             self._draining.discard(upstream_id)
-        if self.usable(upstream_id) != was_usable:
+        if self.is_usable(upstream_id) != was_usable:
             self._plans.clear()
 
     def forget(self, upstream_ids: Iterable[int]) -> None:
@@ -80,7 +80,7 @@
         """
         return frozenset(self._report_by_upstream)
 
-    def usable(self, upstream_id: int) -> bool:
+    def is_usable(self, upstream_id: int) -> bool:
         """Return whether a searcher accepts new work, as far as is known.
 
         :param upstream_id: the searcher.
@@ -172,9 +172,9 @@
         records = self._records.get((collection, version), {})
         ranges = []
         for span, exact in holders.items():
-            usable = [upstream_id for upstream_id in exact if self.usable(upstream_id)]
+            usable = [upstream_id for upstream_id in exact if self.is_usable(upstream_id)]
             wider = self._wider_holders(holders, span)
-            usable += [upstream_id for upstream_id in wider if self.usable(upstream_id)]
+            usable += [upstream_id for upstream_id in wider if self.is_usable(upstream_id)]
             if usable:
                 ranges.append(KeyRange(*span, records[span], tuple(sorted(set(usable)))))
         return ranges
--- a/rhubarbhinge/query/_retry_waits.py
+++ b/rhubarbhinge/query/_retry_waits.py
@@ -47,7 +47,7 @@
     :param now_ms: current time in ms.
     :returns: False when no relay is expected soon, or no retry can be scheduled.
     """
-    usable = filter(state.catalog.usable, part.key_range.upstream_ids)
+    usable = filter(state.catalog.is_usable, part.key_range.upstream_ids)
     is_expected = any(map(state.is_expected, usable))
     return is_expected and wait_for_owner(state, query, part, now_ms)
 
--- a/rhubarbhinge/query/_sending.py
+++ b/rhubarbhinge/query/_sending.py
@@ -65,7 +65,7 @@
         return None
     found: list[tuple[float, int, RelayTarget]] = []
     for upstream_id in part.key_range.upstream_ids:
-        if upstream_id in part.tried or not state.catalog.usable(upstream_id):
+        if upstream_id in part.tried or not state.catalog.is_usable(upstream_id):
             continue
         target = state.relay_of(upstream_id)
         if target is not None:
--- a/rhubarbhinge/query/tests/schedule.py
+++ b/rhubarbhinge/query/tests/schedule.py
@@ -240,7 +240,7 @@
     def _send(self, relay: str, batch, row) -> None:
         part, attempt, number, lo, hi = row
         key = (batch.call_id, part, attempt)
-        assert key not in self.sent and self.catalog.usable(number)
+        assert key not in self.sent and self.catalog.is_usable(number)
         assert self.relay_of(number).name == relay
         text = batch.text
         self.sent[key] = (relay, self.requests[batch.call_id].traffic_class.name)
--- a/rhubarbhinge/query/tests/test_catalog.py
+++ b/rhubarbhinge/query/tests/test_catalog.py
@@ -104,10 +104,10 @@
         for state in (UpstreamState.DRAINING, UpstreamState.UNKNOWN, UpstreamState.DOWN):
             catalog.on_state(1, state)
         catalog.on_state(1, UpstreamState.UNKNOWN)
-        self.assertFalse(catalog.usable(1))
+        self.assertFalse(catalog.is_usable(1))
         self.assertEqual((), catalog.plan(builders.COLLECTION).ranges)
         catalog.on_state(1, UpstreamState.READY)
-        self.assertTrue(catalog.usable(1))
+        self.assertTrue(catalog.is_usable(1))
         self.assertEqual(1, len(catalog.plan(builders.COLLECTION).ranges))
 
     def test_newer_incarnation_ends_a_drain(self):
@@ -116,7 +116,7 @@
         catalog.on_state(1, UpstreamState.DRAINING)
         catalog.on_holdings(builders.holding(1, [(1, 0, KEYS)], incarnation=2))
         catalog.on_state(1, UpstreamState.UNKNOWN)
-        self.assertTrue(catalog.usable(1))
+        self.assertTrue(catalog.is_usable(1))
 
     def test_announcement_of_an_older_incarnation_is_ignored(self):
         made = Catalog()
