--- a/rhubarbhinge/daemons/_entrydaemon.py
+++ b/rhubarbhinge/daemons/_entrydaemon.py
@@ -160,7 +160,7 @@
             "in_flight": self._searches.in_flight(),
             "limit": round(self._searches.limiter.limit, 1),
             "waiting_runs": self._runs.in_flight(),
-            "searchers_announced": len(self._searches.catalog.known()),
+            "searchers_announced": len(self._searches.catalog.announced()),
         }
 
     def _follow_entries(self) -> None:
--- a/rhubarbhinge/query/_catalog.py
+++ b/rhubarbhinge/query/_catalog.py
@@ -73,7 +73,7 @@
             self._draining.discard(upstream_id)
         self._stale = True
 
-    def known(self) -> frozenset[int]:
+    def announced(self) -> frozenset[int]:
         """Return the searchers that have announced key ranges.
 
         :returns: their numbers.
