--- a/rhubarbhinge/daemons/_searches.py
+++ b/rhubarbhinge/daemons/_searches.py
@@ -114,7 +114,7 @@
         register = self._config.register
         if register is not None:
             named = {upstream_id(upstream.name) for upstream in register.upstreams}
-            self._catalog.forget(self._catalog.announced() - named)
+            self._catalog.remove(self._catalog.announced() - named)
 
     def start(self, request: Request, responder: Responder) -> None:
         """Take a caller's search.
--- a/rhubarbhinge/query/_catalog.py
+++ b/rhubarbhinge/query/_catalog.py
@@ -62,7 +62,7 @@
         if self.is_usable(upstream_id) != was_usable:
             self._plans.clear()
 
-    def forget(self, upstream_ids: Iterable[int]) -> None:
+    def remove(self, upstream_ids: Iterable[int]) -> None:
         """Remove searchers that are no longer in the register.
 
         :param upstream_ids: the searchers.
--- a/rhubarbhinge/query/tests/test_catalog.py
+++ b/rhubarbhinge/query/tests/test_catalog.py
@@ -91,7 +91,7 @@
             (lambda: made.on_state(1, UpstreamState.DRAINING), [(2,)]),
             (lambda: made.on_state(1, UpstreamState.READY), [(1, 2)]),
             (lambda: made.on_state(2, UpstreamState.DOWN), [(1,)]),
-            (lambda: made.forget([1]), []),
+            (lambda: made.remove([1]), []),
         ):
             leave()
             ranges = made.plan(builders.COLLECTION).ranges
