--- a/rhubarbhinge/daemons/_relayruns.py
+++ b/rhubarbhinge/daemons/_relayruns.py
@@ -108,7 +108,7 @@
         :param reply: the message.
         """
         mine = reply.entry_incarnation == self._identity.incarnation
-        if mine and self._sent.take(reply.ticket, peer):
+        if mine and self._sent.finish(reply.ticket, peer):
             kind = kind_of(reply.kind) or OutcomeKind.UNKNOWN
             self._end(reply.ticket, kind, reply.result, reply.retry_after_ms)
 
@@ -146,7 +146,7 @@
         for relay, incarnation in self._sent.relays():
             if self._is_gone(relay, incarnation):
                 for request in self._sent.of_relay(relay, incarnation):
-                    self._sent.take(request.ticket, relay)
+                    self._sent.finish(request.ticket, relay)
                     self._end(request.ticket, OutcomeKind.UNKNOWN, b"", 0)
 
     def tick(self) -> None:
@@ -188,7 +188,7 @@
             "run-sent", ticket_hash=_ticket_hash(run.ticket), action=run.action, relay=relay.name
         )
         if not self._send(relay.name, message):
-            self._sent.take(run.ticket, relay.name)
+            self._sent.finish(run.ticket, relay.name)
             self._refuse(run.ticket)
 
     def _target(self, action: str) -> tuple[int, RelayTarget] | None:
--- a/rhubarbhinge/once/_sent_runs.py
+++ b/rhubarbhinge/once/_sent_runs.py
@@ -30,7 +30,7 @@
         """
         self._runs[request.ticket] = _SentRun(request, keep_until_ms)
 
-    def take(self, ticket: str, relay: str) -> bool:
+    def finish(self, ticket: str, relay: str) -> bool:
         """Remove a run whose result has been received.
 
         :param ticket: its ticket.
--- a/rhubarbhinge/once/tests/test_run_results.py
+++ b/rhubarbhinge/once/tests/test_run_results.py
@@ -64,7 +64,7 @@
         self.assertEqual({("a/relay", 5), ("a/relay", 6)}, self.sent.relays())
 
     def test_only_the_relay_of_a_run_ends_it_once(self):
-        ended = [self.sent.take("s", name) for name in ("b/relay", "a/relay", "a/relay")]
+        ended = [self.sent.finish("s", name) for name in ("b/relay", "a/relay", "a/relay")]
         self.assertEqual([False, True, False], ended)
 
     def test_runs_without_a_result_are_removed_after_their_time(self):
