--- a/rhubarbhinge/daemons/_relayruns.py
+++ b/rhubarbhinge/daemons/_relayruns.py
@@ -151,7 +151,7 @@
 
     def tick(self) -> None:
         """Try waiting runs again, and forget those whose result is no longer kept."""
-        self._sent.forget_old(self._now_ms())
+        self._sent.remove_expired(self._now_ms())
         self._retry_waiting()
 
     def _now_ms(self) -> int:
--- a/rhubarbhinge/once/_sent_runs.py
+++ b/rhubarbhinge/once/_sent_runs.py
@@ -62,7 +62,7 @@
         requests = [run.request for run in self._runs.values()]
         return [each for each in requests if (each.relay, each.relay_incarnation) == wanted]
 
-    def forget_old(self, now_ms: int) -> None:
+    def remove_expired(self, now_ms: int) -> None:
         """Remove the runs whose result is no longer kept by the relay.
 
         :param now_ms: time on this entry's clock.
--- a/rhubarbhinge/once/tests/test_run_results.py
+++ b/rhubarbhinge/once/tests/test_run_results.py
@@ -68,9 +68,9 @@
         self.assertEqual([False, True, False], ended)
 
     def test_runs_without_a_result_are_removed_after_their_time(self):
-        self.sent.forget_old(49)
+        self.sent.remove_expired(49)
         self.assertEqual(2, len(self.sent.relays()))
-        self.sent.forget_old(50)
+        self.sent.remove_expired(50)
         self.assertEqual(set(), self.sent.relays())
 
 
