--- a/rhubarbhinge/daemons/_relaywork.py
+++ b/rhubarbhinge/daemons/_relaywork.py
@@ -166,7 +166,7 @@
         self._pool.carry_out(self.core.on_cancel(entry, batch, self._timers.now_ms()))
 
     def _run(self, entry: str, request: RunRequest) -> None:
-        known = self._results.recall(request)
+        known = self._results.result_of(request)
         if known is not None:
             self._send(entry, known)
         elif not self._results.is_open(request):
--- a/rhubarbhinge/once/_run_results.py
+++ b/rhubarbhinge/once/_run_results.py
@@ -77,7 +77,7 @@
         run = self._record_of(request)
         return run is not None and run.reply is None
 
-    def recall(self, request: RunRequest) -> RunReply | None:
+    def result_of(self, request: RunRequest) -> RunReply | None:
         """Return the result of a run that was accepted before.
 
         :param request: the message.
--- a/rhubarbhinge/once/tests/test_run_results.py
+++ b/rhubarbhinge/once/tests/test_run_results.py
@@ -20,27 +20,27 @@
     def test_result_is_returned_again(self):
         self.results.begin(request("t"), 0)
         self.assertTrue(self.results.is_open(request("t")))
-        self.assertIsNone(self.results.recall(request("t")))
+        self.assertIsNone(self.results.result_of(request("t")))
         reply = self.end("t", b"done")
         self.assertEqual((1, "t", "ran", b"done"), _fields(reply))
         self.assertFalse(self.results.is_open(request("t")))
-        self.assertEqual(reply, self.results.recall(request("t")))
+        self.assertEqual(reply, self.results.result_of(request("t")))
 
     def test_other_incarnation_of_the_entry_gets_no_result(self):
         self.results.begin(request("t"), 0)
         self.end("t")
-        self.assertIsNone(self.results.recall(request("t", entry=2)))
+        self.assertIsNone(self.results.result_of(request("t", entry=2)))
 
     def test_results_are_limited_by_age_and_size_and_open_runs_are_kept(self):
         for ticket in "abc":
             self.results.begin(request(ticket), 0)
         self.end("b", b"x" * 6)
         self.end("c", b"x" * 6)
-        kept = [self.results.recall(request(ticket)) is not None for ticket in "bc"]
+        kept = [self.results.result_of(request(ticket)) is not None for ticket in "bc"]
         self.assertEqual([False, True], kept)
         self.assertEqual(["a"], self.results.open_of("a/entry"))
         self.results.begin(request("d"), 100)
-        self.assertIsNone(self.results.recall(request("c")))
+        self.assertIsNone(self.results.result_of(request("c")))
         self.assertEqual(["d"], self.results.open_of("a/entry"))
 
     def test_withdrawn_run_is_accepted_again(self):
