--- a/rhubarbhinge/daemons/_relaywork.py
+++ b/rhubarbhinge/daemons/_relaywork.py
@@ -86,7 +86,7 @@
         :param entry: its node name.
         """
         self._pool.carry_out(self.core.on_peer_gone(entry, self._timers.now_ms()))
-        for ticket in self._results.open_of(entry):
+        for ticket in self._results.open_tickets(entry):
             if not self.core.knows_ticket(ticket):
                 self._deduplicator.withdraw(ticket)
                 self._results.withdraw(ticket)
--- a/rhubarbhinge/once/_run_results.py
+++ b/rhubarbhinge/once/_run_results.py
@@ -86,7 +86,7 @@
         run = self._record_of(request)
         return None if run is None else run.reply
 
-    def open_of(self, entry: str) -> list[str]:
+    def open_tickets(self, entry: str) -> list[str]:
         """Return the open runs of an entry.
 
         :param entry: its node name.
--- a/rhubarbhinge/once/tests/test_run_results.py
+++ b/rhubarbhinge/once/tests/test_run_results.py
@@ -38,16 +38,16 @@
         self.end("c", b"x" * 6)
         kept = [self.results.result_of(request(ticket)) is not None for ticket in "bc"]
         self.assertEqual([False, True], kept)
-        self.assertEqual(["a"], self.results.open_of("a/entry"))
+        self.assertEqual(["a"], self.results.open_tickets("a/entry"))
         self.results.begin(request("d"), 100)
         self.assertIsNone(self.results.result_of(request("c")))
-        self.assertEqual(["d"], self.results.open_of("a/entry"))
+        self.assertEqual(["d"], self.results.open_tickets("a/entry"))
 
     def test_withdrawn_run_is_accepted_again(self):
         self.results.begin(request("t"), 0)
         self.results.withdraw("t")
         self.assertFalse(self.results.is_open(request("t")))
-        self.assertEqual([], self.results.open_of("a/entry"))
+        self.assertEqual([], self.results.open_tickets("a/entry"))
 
 
 class SentRunsTest(unittest.TestCase):
