--- a/rhubarbhinge/daemons/_runs.py
+++ b/rhubarbhinge/daemons/_runs.py
@@ -276,7 +276,7 @@
     def _give_up_gone(self) -> None:
         """End as unknown what was sent to processes that are gone."""
         self._relay_runs.give_up_gone()
-        for entry, incarnation in self._tickets.owners_asked():
+        for entry, incarnation in self._tickets.pending_owners():
             if self._is_gone(entry, incarnation):
                 gone = self._tickets.on_peer_gone(entry, incarnation, self._now_ms())
                 self._carry_out(gone)
--- a/rhubarbhinge/once/_ticket_service.py
+++ b/rhubarbhinge/once/_ticket_service.py
@@ -192,7 +192,7 @@
         """
         return self._apply_key_effects(self._keys.on_peer_gone(entry, now_ms), now_ms)
 
-    def owners_asked(self) -> set[tuple[str, int]]:
+    def pending_owners(self) -> set[tuple[str, int]]:
         """Return the entries with pending forwarded tickets.
 
         :returns: names and incarnations.
--- a/rhubarbhinge/once/tests/test_ticket_service.py
+++ b/rhubarbhinge/once/tests/test_ticket_service.py
@@ -169,7 +169,7 @@
         incarnation = self.service._signer.incarnation + 1
         self.fleet.act(OTHER, lambda service, _: service.on_link_up(OWNER, incarnation))
         self.assertEqual([], self.fleet.network)
-        self.assertEqual({(OWNER, incarnation - 1)}, self.fleet.services[OTHER].owners_asked())
+        self.assertEqual({(OWNER, incarnation - 1)}, self.fleet.services[OTHER].pending_owners())
 
     def test_invalid_tickets_are_unknown(self):
         wrong = self.ticket[:-1] + ("A" if self.ticket[-1] != "A" else "Q")
