--- a/rhubarbhinge/daemons/_entrydaemon.py
+++ b/rhubarbhinge/daemons/_entrydaemon.py
@@ -94,7 +94,7 @@
         """
         self._runs.on_link_lost(peer)
         if peer.role == "relay":
-            self._searches.on_relay_gone(peer.name)
+            self._searches.on_relay_lost(peer.name)
 
     def on_message(self, peer: Peer, message: Any) -> None:
         """Take answers and reports of relays, and tickets of other entries.
--- a/rhubarbhinge/daemons/_searches.py
+++ b/rhubarbhinge/daemons/_searches.py
@@ -170,12 +170,12 @@
         """
         self._catalog.on_holdings(report)
 
-    def on_relay_gone(self, relay: str) -> None:
+    def on_relay_lost(self, relay: str) -> None:
         """Ask elsewhere what a lost relay was asked.
 
         :param relay: its node name.
         """
-        self._carry_out(self._core.on_relay_gone(relay, self._timers.now_ms()))
+        self._carry_out(self._core.on_relay_lost(relay, self._timers.now_ms()))
 
     def _tick(self) -> None:
         self._carry_out(self._core.tick(self._timers.now_ms()))
@@ -215,7 +215,7 @@
                 case Shortfall():
                     self._fall_short(effect)
         for relay in unsent:
-            self.on_relay_gone(relay)
+            self.on_relay_lost(relay)
         due_ms = self._core.next_due_ms()
         if due_ms is not None:
             self._waker.wake_by(due_ms)
--- a/rhubarbhinge/query/_core.py
+++ b/rhubarbhinge/query/_core.py
@@ -123,7 +123,7 @@
             self._state.catalog.on_state(upstream_id, _STATES.get(state, UpstreamState.UNKNOWN))
             self._state.scores.on_report(upstream_id, queued, in_flight, slots)
 
-    def on_relay_gone(self, relay: str, now_ms: float) -> list[Effect]:
+    def on_relay_lost(self, relay: str, now_ms: float) -> list[Effect]:
         """Handle the loss of a relay's link: resend its outstanding sub-queries elsewhere.
 
         :param relay: the relay's node name.
--- a/rhubarbhinge/query/tests/schedule.py
+++ b/rhubarbhinge/query/tests/schedule.py
@@ -171,7 +171,7 @@
         lost = {key for key, (name, _) in self.sent.items() if name == relay} - self.ended
         self.refused.update(key[:2] for key in lost)
         self.ended |= lost
-        self._carry_out(self.core.on_relay_gone(relay, self.now_ms))
+        self._carry_out(self.core.on_relay_lost(relay, self.now_ms))
 
     def wait(self, first: int, second: int) -> None:
         self.run(first * 2 + second)
--- a/rhubarbhinge/query/tests/test_core.py
+++ b/rhubarbhinge/query/tests/test_core.py
@@ -133,7 +133,7 @@
     def test_sub_queries_of_a_lost_relay_are_resent(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)], 2: [(1, 0, builders.KEYS)]})
         first = harness.sends(harness.start())[0]
-        again = harness.sends(harness.core.on_relay_gone(f"r{first[2]}", 5.0))
+        again = harness.sends(harness.core.on_relay_lost(f"r{first[2]}", 5.0))
         self.assertEqual(1, len(again))
         self.assertNotEqual(first[2], again[0][2])
 
--- a/rhubarbhinge/query/tests/test_owner_waits.py
+++ b/rhubarbhinge/query/tests/test_owner_waits.py
@@ -80,7 +80,7 @@
         self.harness.start(deadline_ms=5_000.0)
         self.harness.expected.add(1)
         del self.harness.relays[1]
-        self.assertEqual([], self.harness.core.on_relay_gone(self.relay.name, 10.0))
+        self.assertEqual([], self.harness.core.on_relay_lost(self.relay.name, 10.0))
         self.assertEqual([], self.tick_until(100.0))
         self.harness.relays[1] = self.relay
         (row,) = self.harness.sends(self.tick_until(200.0))
