--- a/rhubarbhinge/once/_key_bindings.py
+++ b/rhubarbhinge/once/_key_bindings.py
@@ -14,7 +14,7 @@
 class _Binding:
     ticket: str
     digest: bytes
-    copied: bool
+    confirmed: bool
     keep_until_ms: int
 
 
@@ -65,10 +65,10 @@
             del self._bindings[key]
 
     def _on_held(self, claim: KeyClaim, held: _Binding, now_ms: int) -> KeyClaimReply:
-        if claim.step == KeyClaimStep.LOOKUP and not held.copied:
+        if claim.step == KeyClaimStep.LOOKUP and not held.confirmed:
             return self._reply(claim, KeyReplyCode.NOT_HELD, self._settings.key_claim_ms)
         confirms = claim.step == KeyClaimStep.COPY and claim.ticket == held.ticket
-        return self._bind(claim, replace(held, copied=held.copied or confirms), now_ms)
+        return self._bind(claim, replace(held, confirmed=held.confirmed or confirms), now_ms)
 
     def _bind(self, claim: KeyClaim, binding: _Binding, now_ms: int) -> KeyClaimReply:
         keep_until_ms = now_ms + self._settings.key_window_ms
--- a/rhubarbhinge/once/_ticket_service.py
+++ b/rhubarbhinge/once/_ticket_service.py
@@ -47,7 +47,7 @@
         self._draining = False
 
     @property
-    def held(self) -> int:
+    def ticket_count(self) -> int:
         """Return the number of tickets held.
 
         :returns: the number of records in any state.
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -46,9 +46,9 @@
 class Fleet:
     """All processes and the messages in transit; ``history`` records what happened."""
 
-    def __init__(self, old: bool = True):
+    def __init__(self, past_window: bool = True):
         self.now_ms = 10_000
-        self.started_ms = self.now_ms - (2 * WINDOW_MS if old else 0)
+        self.started_ms = self.now_ms - (2 * WINDOW_MS if past_window else 0)
         self.incarnations = 0
         self.history: list[str] = []
         self.tickets: list[tuple[str, bytes]] = []
--- a/rhubarbhinge/once/tests/test_schedules.py
+++ b/rhubarbhinge/once/tests/test_schedules.py
@@ -135,8 +135,10 @@
 
     @PROPERTY_SETTINGS
     @given(KEYED_SCHEDULE, st.booleans())
-    def test_keys(self, schedule, old):
-        self.assertEqual([], check_history(run_schedule(Fleet(old=old), schedule, keyed=True)))
+    def test_keys(self, schedule, past_window):
+        self.assertEqual(
+            [], check_history(run_schedule(Fleet(past_window=past_window), schedule, keyed=True))
+        )
 
     def test_injected_faults_are_found(self):
         for name, patches in INJECTED_FAULTS.items():
--- a/rhubarbhinge/once/tests/test_ticket_service.py
+++ b/rhubarbhinge/once/tests/test_ticket_service.py
@@ -198,7 +198,9 @@
 
     def test_every_entry_returns_the_same_ticket(self):
         self.assertEqual({self.ticket}, {self.ask(entry).ticket for entry in ENTRIES})
-        self.assertEqual([0, 0, 1], sorted(self.fleet.services[name].held for name in ENTRIES))
+        self.assertEqual(
+            [0, 0, 1], sorted(self.fleet.services[name].ticket_count for name in ENTRIES)
+        )
 
     def test_another_body_is_refused(self):
         self.assertEqual("key-mismatch", self.ask(OWNER, BODIES[1]).code)
@@ -221,7 +223,7 @@
 
     def test_unconfirmed_copy_is_not_used(self):
         copy = self.fleet.keys[self.owners[1]]._bindings._bindings
-        copy[KEYS[0]] = replace(copy[KEYS[0]], copied=False)
+        copy[KEYS[0]] = replace(copy[KEYS[0]], confirmed=False)
         self.fleet.start_entry(self.owners[0], self.fleet.now_ms)
         self.assertEqual("key-owner-young", self.ask(self.third).code)
 
--- a/rhubarbhinge/query/_catalog.py
+++ b/rhubarbhinge/query/_catalog.py
@@ -171,8 +171,8 @@
         holders = self._holders.get(collection, {}).get(version, {})
         records = self._records.get((collection, version), {})
         ranges = []
-        for span, exact in holders.items():
-            usable = [upstream_id for upstream_id in exact if self.is_usable(upstream_id)]
+        for span, holder_ids in holders.items():
+            usable = [upstream_id for upstream_id in holder_ids if self.is_usable(upstream_id)]
             wider = self._wider_holders(holders, span)
             usable += [upstream_id for upstream_id in wider if self.is_usable(upstream_id)]
             if usable:
--- a/rhubarbhinge/query/_core.py
+++ b/rhubarbhinge/query/_core.py
@@ -6,7 +6,7 @@
 from rhubarbhinge.query._catalog import Catalog
 from rhubarbhinge.query._completion import cancel_and_remove, finish, finish_if_decided
 from rhubarbhinge.query._effects import Answer, Effect, Shortfall
-from rhubarbhinge.query._hedging import hedge, schedule
+from rhubarbhinge.query._hedging import hedge, schedule_next_check
 from rhubarbhinge.query._planning import plan_and_send
 from rhubarbhinge.query._policy import QueryPolicy
 from rhubarbhinge.query._query import Query
@@ -71,7 +71,7 @@
         self._state.open.add(query)
         effects = plan_and_send(self._state, query, now_ms)
         if self._state.open.is_open(query):
-            schedule(self._state, query, now_ms)
+            schedule_next_check(self._state, query, now_ms)
         return effects + self._flush(now_ms)
 
     def on_reply(self, relay: str, batch: ReplyBatch, now_ms: float) -> list[Effect]:
@@ -167,7 +167,7 @@
         if answered:
             return answered
         hedge(state, query, now_ms)
-        schedule(state, query, now_ms)
+        schedule_next_check(state, query, now_ms)
         return []
 
     def _flush(self, now_ms: float) -> list[Effect]:
--- a/rhubarbhinge/query/_hedging.py
+++ b/rhubarbhinge/query/_hedging.py
@@ -30,7 +30,7 @@
         query.hedges += send_extra(state, query, part, now_ms)
 
 
-def schedule(state: SharedQueryState, query: Query, now_ms: float) -> None:
+def schedule_next_check(state: SharedQueryState, query: Query, now_ms: float) -> None:
     """Schedule the next check of a query: for its deadline, early answer, retries or hedges.
 
     :param state: the entry's state.
--- a/rhubarbhinge/query/_outbox.py
+++ b/rhubarbhinge/query/_outbox.py
@@ -18,17 +18,19 @@
         self._queries: dict[int, Query] = {}
         self._cancels: dict[str, list[tuple[int, int, int]]] = defaultdict(list)
 
-    def send(self, target: RelayTarget, query: Query, part: Part, attempt: int, to: int) -> None:
+    def send(
+        self, target: RelayTarget, query: Query, part: Part, attempt: int, upstream_id: int
+    ) -> None:
         """Add a sub-query.
 
         :param target: the relay.
         :param query: the query.
         :param part: the part.
         :param attempt: the attempt's number.
-        :param to: the searcher.
+        :param upstream_id: the searcher.
         """
         self._queries[query.call_id] = query
-        row = (part.number, attempt, to, part.key_range.lo, part.key_range.hi)
+        row = (part.number, attempt, upstream_id, part.key_range.lo, part.key_range.hi)
         self._rows[target, query.call_id].append(row)
 
     def cancel(self, relay: str, call_id: int, part: int, attempt: int) -> None:
--- a/rhubarbhinge/query/_planning.py
+++ b/rhubarbhinge/query/_planning.py
@@ -1,4 +1,4 @@
-"""Planning of queries, also anew on another index version, and sending of their parts."""
+"""Planning of queries, also on another index version, and sending of their parts."""
 
 from rhubarbhinge.query._completion import finish_if_decided
 from rhubarbhinge.query._effects import Effect
--- a/rhubarbhinge/query/_range_selection.py
+++ b/rhubarbhinge/query/_range_selection.py
@@ -30,16 +30,18 @@
     best: dict[int, tuple[int, int, KeyRange | None, int]] = {hi: (0, 0, None, hi)}
     for index in range(len(bounds) - 2, -1, -1):
         bound = bounds[index]
-        after = bounds[index + 1]
-        best[bound] = _best_from(starts.get(bound, ()), best, after)
-    return _walk(best, lo, hi)
+        next_bound = bounds[index + 1]
+        best[bound] = _best_from(starts.get(bound, ()), best, next_bound)
+    return _collect_selection(best, lo, hi)
 
 
 def _best_from(
-    ranges: Iterable[KeyRange], best: dict[int, tuple[int, int, KeyRange | None, int]], after: int
+    ranges: Iterable[KeyRange],
+    best: dict[int, tuple[int, int, KeyRange | None, int]],
+    next_bound: int,
 ) -> tuple[int, int, KeyRange | None, int]:
-    records, replicas, _, _ = best[after]
-    found: tuple[int, int, KeyRange | None, int] = (records, replicas, None, after)
+    records, replicas, _, _ = best[next_bound]
+    found: tuple[int, int, KeyRange | None, int] = (records, replicas, None, next_bound)
     for key_range in ranges:
         records, replicas, _, _ = best[key_range.hi]
         candidate = (
@@ -53,19 +55,19 @@
     return found
 
 
-def _walk(
+def _collect_selection(
     best: dict[int, tuple[int, int, KeyRange | None, int]], lo: int, hi: int
 ) -> tuple[tuple[KeyRange, ...], tuple[Gap, ...]]:
     chosen = []
     gaps: list[Gap] = []
     at = lo
     while at < hi:
-        _, _, key_range, after = best[at]
+        _, _, key_range, next_bound = best[at]
         if key_range is not None:
             chosen.append(key_range)
         elif gaps and gaps[-1].hi == at:
-            gaps[-1] = Gap(gaps[-1].lo, after)
+            gaps[-1] = Gap(gaps[-1].lo, next_bound)
         else:
-            gaps.append(Gap(at, after))
-        at = after
+            gaps.append(Gap(at, next_bound))
+        at = next_bound
     return tuple(chosen), tuple(gaps)
--- a/rhubarbhinge/query/tests/builders.py
+++ b/rhubarbhinge/query/tests/builders.py
@@ -32,7 +32,7 @@
     return HoldingReport(upstream_id, incarnation, *columns)
 
 
-def found(version, lo, hi, text=TEXT, limit=10, **changed):
+def answer_body(version, lo, hi, text=TEXT, limit=10, **changed):
     """Return the body of a searcher's answer."""
     body = {
         "collection": COLLECTION,
--- a/rhubarbhinge/query/tests/core_harness.py
+++ b/rhubarbhinge/query/tests/core_harness.py
@@ -10,11 +10,11 @@
 class CoreHarness:
     """A query core whose searcher n is owned by relay "r<n>" by default."""
 
-    def __init__(self, held, traffic=None, **policy):
+    def __init__(self, holdings, traffic=None, **policy):
         self.catalog = Catalog()
-        self.relays = {number: RelayTarget(f"r{number}", 1) for number in held}
+        self.relays = {number: RelayTarget(f"r{number}", 1) for number in holdings}
         self.traffic = traffic or builders.traffic_class(extra_load=1.0)
-        for number, spans in held.items():
+        for number, spans in holdings.items():
             self.catalog.on_holdings(builders.holding(number, spans))
         policy = QueryPolicy(initial_hedge_delay_ms=30.0, **policy)
         self.expected = set()
@@ -35,7 +35,7 @@
     def answer(self, row, now_ms=10.0, outcome=SubCode.ANSWERED, wait_ms=0, body=None, **changed):
         part, attempt, number, lo, hi = row
         if body is None and outcome == SubCode.ANSWERED:
-            body = builders.found(self.version, lo, hi, **changed)
+            body = builders.answer_body(self.version, lo, hi, **changed)
         reply = builders.reply((1, part, attempt, outcome, wait_ms, body or b""))
         return self.core.on_reply(self.relays[number].name, reply, now_ms)
 
--- a/rhubarbhinge/query/tests/schedule.py
+++ b/rhubarbhinge/query/tests/schedule.py
@@ -84,7 +84,7 @@
         self.sent: dict[tuple[int, int, int], tuple[str, str]] = {}
         self.ended: set[tuple[int, int, int]] = set()
         self.refused: Counter = Counter()
-        self.earned: Counter = Counter()
+        self.credited: Counter = Counter()
         self._network: list = []
         self._numbers = itertools.count()
         for shard in range(8):
@@ -108,15 +108,15 @@
         self.open.add(number)
         self._record_event("asked", request=number, node="e")
         plan = self.catalog.plan(search.collection)
-        self.earned[traffic.name] += len(plan.ranges) * traffic.extra_load
-        self._carry_out(self.core.start(search, self.now_ms))
+        self.credited[traffic.name] += len(plan.ranges) * traffic.extra_load
+        self._apply_effects(self.core.start(search, self.now_ms))
 
     def abandon(self, first: int, second: int) -> None:
         if self.open:
             number = sorted(self.open)[first % len(self.open)]
             self.open.discard(number)
             self.events = [event for event in self.events if event.get("request") != number]
-            self._carry_out(self.core.abandon(number, self.now_ms))
+            self._apply_effects(self.core.abandon(number, self.now_ms))
 
     def publish(self, first: int, second: int) -> None:
         self.version += 1
@@ -171,7 +171,7 @@
         lost = {key for key, (name, _) in self.sent.items() if name == relay} - self.ended
         self.refused.update(key[:2] for key in lost)
         self.ended |= lost
-        self._carry_out(self.core.on_relay_lost(relay, self.now_ms))
+        self._apply_effects(self.core.on_relay_lost(relay, self.now_ms))
 
     def wait(self, first: int, second: int) -> None:
         self.run(first * 2 + second)
@@ -199,7 +199,7 @@
         self.now_ms = end_ms
 
     def _tick(self) -> None:
-        self._carry_out(self.core.tick(self.now_ms))
+        self._apply_effects(self.core.tick(self.now_ms))
         for event in self.events:
             if event["event"] == "asked" and event["request"] in self.open:
                 due_ms = event["at_ms"] + self.requests[event["request"]].deadline_ms
@@ -215,7 +215,7 @@
 
     # Effects.
 
-    def _carry_out(self, effects) -> None:
+    def _apply_effects(self, effects) -> None:
         for effect in effects:
             if isinstance(effect, SendBatch):
                 for row in builders.rows_of(effect.batch):
@@ -249,8 +249,8 @@
         if self.rng.random() < self.fault_rate:
             outcome = self.rng.choice(REFUSALS)
         elif outcome == SubCode.ANSWERED:
-            body = builders.found(batch.version, lo, hi, text, batch.limit)
-        wrong = builders.found(batch.version, lo, hi, text, hits=[])
+            body = builders.answer_body(batch.version, lo, hi, text, batch.limit)
+        wrong = builders.answer_body(batch.version, lo, hi, text, hits=[])
         if body and self.rng.random() < self.fault_rate:
             body = self._corrupt_answer(batch.version, lo, hi, text)
         for chance in (1.0, self.fault_rate / 2):
@@ -267,12 +267,12 @@
         records = builders.count(version, lo, hi)
         return self.rng.choice(
             (
-                builders.found(version + 1, lo, hi, text, records=records),
-                builders.found(version, lo, (lo + hi) // 2, text, records=records),
-                builders.found(version, lo, hi, text, records=records + 9),
-                builders.found(version, lo, hi, text, collection="others"),
-                builders.found(version, lo, hi, text, hits=[{"id": "x"}]),
-                builders.found(version, lo, hi, text)[:-3],
+                builders.answer_body(version + 1, lo, hi, text, records=records),
+                builders.answer_body(version, lo, (lo + hi) // 2, text, records=records),
+                builders.answer_body(version, lo, hi, text, records=records + 9),
+                builders.answer_body(version, lo, hi, text, collection="others"),
+                builders.answer_body(version, lo, hi, text, hits=[{"id": "x"}]),
+                builders.answer_body(version, lo, hi, text)[:-3],
             )
         )
 
@@ -283,7 +283,7 @@
             if outcome == SubCode.ANSWERED:
                 self._record_served(key[0], body)
         batch = builders.reply((*key, outcome, self.rng.choice((0, 10, 50)), body))
-        self._carry_out(self.core.on_reply(relay, batch, self.now_ms))
+        self._apply_effects(self.core.on_reply(relay, batch, self.now_ms))
 
     def _record_served(self, call_id: int, body: bytes) -> None:
         try:
--- a/rhubarbhinge/query/tests/test_core.py
+++ b/rhubarbhinge/query/tests/test_core.py
@@ -79,7 +79,14 @@
                 row = harness.sends(harness.core.tick(now_ms + 30.0))[0]
                 answered_ms = now_ms + 45.0
             reply = builders.reply(
-                (number, row[0], row[1], SubCode.ANSWERED, 0, builders.found(1, row[3], row[4]))
+                (
+                    number,
+                    row[0],
+                    row[1],
+                    SubCode.ANSWERED,
+                    0,
+                    builders.answer_body(1, row[3], row[4]),
+                )
             )
             self.assertEqual(1, len(all_answers(harness.core.on_reply("r2", reply, answered_ms))))
             now_ms += 50.0
@@ -144,7 +151,7 @@
 
 
 class WaitTest(unittest.TestCase):
-    def all_shed(self, harness, wait_ms=20):
+    def shed_all(self, harness, wait_ms=20):
         for row in harness.sends(harness.start()):
             while row is not None:
                 rows = harness.sends(harness.answer(row, 1.0, SubCode.SHED, wait_ms))
@@ -152,7 +159,7 @@
 
     def test_replicas_that_all_shed_are_retried_after_the_delay(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]}, builders.traffic_class(extra_load=1.0))
-        self.all_shed(harness)
+        self.shed_all(harness)
         self.assertEqual([], harness.sends(harness.core.tick(20.0)))
         self.assertEqual(1, len(harness.sends(harness.core.tick(21.0))))
 
@@ -164,7 +171,7 @@
 
     def test_retry_that_cannot_be_sent_keeps_its_token(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
-        self.all_shed(harness)
+        self.shed_all(harness)
         harness.relays.clear()
         before = harness.tokens()
         for now_ms in range(21, 100, 5):
@@ -174,14 +181,14 @@
     def test_waiting_parts_share_scheduled_checks(self):
         spans = [(1, lo, lo + 1024) for lo in range(0, builders.KEYS, 1024)]
         harness = CoreHarness({1: spans}, builders.traffic_class(extra_load=0.0), hedging=True)
-        self.all_shed(harness)
+        self.shed_all(harness)
         for now_ms in range(20, 100):
             harness.core.tick(float(now_ms))
             self.assertLessEqual(len(harness.core._state.open.due), 4)
 
     def test_waiting_parts_are_retried_without_hedging_too(self):
         harness = CoreHarness({1: [(1, 0, builders.KEYS)]}, hedging=False)
-        self.all_shed(harness)
+        self.shed_all(harness)
         target = harness.relays.pop(1)
         harness.core.tick(21.0)
         harness.relays[1] = target
@@ -331,7 +338,7 @@
     def setUp(self):
         self.harness = CoreHarness({1: [(1, 0, builders.KEYS)]})
         self.row = self.harness.sends(self.harness.start())[0]
-        self.body = builders.found(1, 0, builders.KEYS)
+        self.body = builders.answer_body(1, 0, builders.KEYS)
 
     def test_replies_that_match_no_attempt_are_ignored(self):
         for relay, key in (
@@ -364,10 +371,10 @@
             good.replace(b'"hi":65536', b'"hi":65535'),
             good.replace(b'"records":', b'"records":1'),
             good.replace(b'"overhauls"', b'"others"'),
-            builders.found(1, 0, builders.KEYS, hits=None),
-            builders.found(1, 0, builders.KEYS, hits=[1]),
-            builders.found(1, 0, builders.KEYS, hits=[{"score": 1.0}]),
-            builders.found(1, 0, builders.KEYS, hits=[{"id": "a", "score": "1"}]),
+            builders.answer_body(1, 0, builders.KEYS, hits=None),
+            builders.answer_body(1, 0, builders.KEYS, hits=[1]),
+            builders.answer_body(1, 0, builders.KEYS, hits=[{"score": 1.0}]),
+            builders.answer_body(1, 0, builders.KEYS, hits=[{"id": "a", "score": "1"}]),
             good.replace(b'"title":', b'"more":' + deep + b',"title":', 1),
         ):
             with self.subTest(body[:80]):
--- a/rhubarbhinge/query/tests/test_schedules.py
+++ b/rhubarbhinge/query/tests/test_schedules.py
@@ -88,7 +88,7 @@
                 if schedule.requests[key[0]].traffic_class is traffic
             )
             floor = (schedule.now_ms - START_MS) // QueryPolicy().floor_interval_ms
-            self.assertLessEqual(extra, schedule.earned[traffic.name] + floor + 1e-6)
+            self.assertLessEqual(extra, schedule.credited[traffic.name] + floor + 1e-6)
 
     def check_nothing_is_left(self, schedule):
         core = schedule.core
