--- a/rhubarbhinge/daemons/_entrydaemon.py
+++ b/rhubarbhinge/daemons/_entrydaemon.py
@@ -94,7 +94,7 @@
         """
         self._runs.on_link_lost(peer)
         if peer.role == "relay":
-            self._searches.on_relay_gone(peer.name)
+            self._searches.on_relay_lost(peer.name)
 
     def on_message(self, peer: Peer, message: Any) -> None:
         """Take answers and reports of relays, and tickets of other entries.
@@ -160,7 +160,7 @@
             "in_flight": self._searches.in_flight(),
             "limit": round(self._searches.limiter.limit, 1),
             "waiting_runs": self._runs.in_flight(),
-            "searchers_announced": len(self._searches.catalog.known()),
+            "searchers_announced": len(self._searches.catalog.announced()),
         }
 
     def _follow_entries(self) -> None:
--- a/rhubarbhinge/daemons/_relayruns.py
+++ b/rhubarbhinge/daemons/_relayruns.py
@@ -108,7 +108,7 @@
         :param reply: the message.
         """
         mine = reply.entry_incarnation == self._identity.incarnation
-        if mine and self._sent.take(reply.ticket, peer):
+        if mine and self._sent.finish(reply.ticket, peer):
             kind = kind_of(reply.kind) or OutcomeKind.UNKNOWN
             self._end(reply.ticket, kind, reply.result, reply.retry_after_ms)
 
@@ -146,12 +146,12 @@
         for relay, incarnation in self._sent.relays():
             if self._is_gone(relay, incarnation):
                 for request in self._sent.of_relay(relay, incarnation):
-                    self._sent.take(request.ticket, relay)
+                    self._sent.finish(request.ticket, relay)
                     self._end(request.ticket, OutcomeKind.UNKNOWN, b"", 0)
 
     def tick(self) -> None:
         """Try waiting runs again, and forget those whose result is no longer kept."""
-        self._sent.forget_old(self._now_ms())
+        self._sent.remove_expired(self._now_ms())
         self._retry_waiting()
 
     def _now_ms(self) -> int:
@@ -188,7 +188,7 @@
             "run-sent", ticket_hash=_ticket_hash(run.ticket), action=run.action, relay=relay.name
         )
         if not self._send(relay.name, message):
-            self._sent.take(run.ticket, relay.name)
+            self._sent.finish(run.ticket, relay.name)
             self._refuse(run.ticket)
 
     def _target(self, action: str) -> tuple[int, RelayTarget] | None:
@@ -210,7 +210,7 @@
     def _usable_upstreams(self, action: str) -> list[int]:
         known: Action | None = self._config.register.action(action)
         numbers = [upstream_id(name) for name in known.upstreams] if known else []
-        return [number for number in numbers if self._catalog.usable(number)]
+        return [number for number in numbers if self._catalog.is_usable(number)]
 
     def _refuse(self, ticket: str) -> None:
         self._end(ticket, OutcomeKind.REFUSED_NOT_RUN, b"", _TARGET_RETRY_MS)
--- a/rhubarbhinge/daemons/_searches.py
+++ b/rhubarbhinge/daemons/_searches.py
@@ -13,7 +13,7 @@
     Answer,
     Catalog,
     Effect,
-    Missing,
+    MissingRange,
     QueryCore,
     QueryPolicy,
     QueryStats,
@@ -114,7 +114,7 @@
         register = self._config.register
         if register is not None:
             named = {upstream_id(upstream.name) for upstream in register.upstreams}
-            self._catalog.forget(self._catalog.known() - named)
+            self._catalog.remove(self._catalog.announced() - named)
 
     def start(self, request: Request, responder: Responder) -> None:
         """Take a caller's search.
@@ -170,12 +170,12 @@
         """
         self._catalog.on_holdings(report)
 
-    def on_relay_gone(self, relay: str) -> None:
+    def on_relay_lost(self, relay: str) -> None:
         """Ask elsewhere what a lost relay was asked.
 
         :param relay: its node name.
         """
-        self._carry_out(self._core.on_relay_gone(relay, self._timers.now_ms()))
+        self._carry_out(self._core.on_relay_lost(relay, self._timers.now_ms()))
 
     def _tick(self) -> None:
         self._carry_out(self._core.tick(self._timers.now_ms()))
@@ -215,7 +215,7 @@
                 case Shortfall():
                     self._fall_short(effect)
         for relay in unsent:
-            self.on_relay_gone(relay)
+            self.on_relay_lost(relay)
         due_ms = self._core.next_due_ms()
         if due_ms is not None:
             self._waker.wake_by(due_ms)
@@ -272,7 +272,7 @@
             for missing in answer.missing[:_MOST_RANGES_LOGGED]
         )
 
-    def _holders(self, answer: Answer, missing: Missing) -> str:
+    def _holders(self, answer: Answer, missing: MissingRange) -> str:
         numbers = self._catalog.holders(answer.collection, answer.version, missing.lo, missing.hi)
         names = {upstream_id(each.name): each.name for each in self._config.register.upstreams}
         return " ".join(
--- a/rhubarbhinge/once/__init__.py
+++ b/rhubarbhinge/once/__init__.py
@@ -1,49 +1,50 @@
-"""Tickets for requests that must not repeat."""
+"""At-most-once execution of requests by tickets and idempotency keys."""
 
-from rhubarbhinge.once._asker import LocalAsker, PeerAsker
-from rhubarbhinge.once._book import TicketBook
-from rhubarbhinge.once._codes import Code
-from rhubarbhinge.once._digest import body_digest
+from rhubarbhinge.once._body_digest import body_digest
 from rhubarbhinge.once._drain_report import DrainReport
 from rhubarbhinge.once._effects import (
     AnswerOutcome,
     AnswerRedirect,
     Effect,
-    Forward,
-    ReplyForward,
     SendClaim,
+    SendForward,
+    SendForwardReply,
     StartRun,
 )
-from rhubarbhinge.once._fault import TicketFault
-from rhubarbhinge.once._guard import RunGuard
 from rhubarbhinge.once._history import check_history
+from rhubarbhinge.once._idempotency_keys import IdempotencyKeys
 from rhubarbhinge.once._incarnation import draw_incarnation
-from rhubarbhinge.once._keybook import KeyBook
+from rhubarbhinge.once._invalid_ticket import InvalidTicket
+from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind, kind_of
-from rhubarbhinge.once._permit import SendPermit
+from rhubarbhinge.once._outcome_codes import OutcomeCode
+from rhubarbhinge.once._requester import LocalRequester, PeerRequester
+from rhubarbhinge.once._run_deduplicator import RunDeduplicator
 from rhubarbhinge.once._run_results import RunResults
+from rhubarbhinge.once._send_permit import SendPermit
 from rhubarbhinge.once._sent_runs import SentRuns
-from rhubarbhinge.once._settings import OnceSettings
 from rhubarbhinge.once._signer import Signer
 from rhubarbhinge.once._ticket import Ticket
-from rhubarbhinge.once._violation import Fault, Violation
+from rhubarbhinge.once._ticket_service import TicketService
+from rhubarbhinge.once._violation import Violation, ViolationKind
 
 __all__ = [
     "AnswerOutcome",
     "AnswerRedirect",
-    "Code",
+    "OutcomeCode",
     "DrainReport",
     "Effect",
-    "Fault",
-    "Forward",
-    "KeyBook",
-    "LocalAsker",
+    "ViolationKind",
+    "SendForward",
+    "InvalidTicket",
+    "IdempotencyKeys",
+    "LocalRequester",
     "OnceSettings",
     "Outcome",
     "OutcomeKind",
-    "PeerAsker",
-    "ReplyForward",
-    "RunGuard",
+    "PeerRequester",
+    "SendForwardReply",
+    "RunDeduplicator",
     "RunResults",
     "SendClaim",
     "SendPermit",
@@ -51,8 +52,7 @@
     "Signer",
     "StartRun",
     "Ticket",
-    "TicketBook",
-    "TicketFault",
+    "TicketService",
     "Violation",
     "body_digest",
     "check_history",
--- a/rhubarbhinge/once/_history.py
+++ b/rhubarbhinge/once/_history.py
@@ -1,27 +1,27 @@
-"""Checks the history of concurrent runs against the promises for tickets and keys.
+"""Checker of histories of concurrent runs against the guarantees for tickets and keys.
 
-A history is text, one event a line, in the order in which the events happened:
+A history is text, one event per line, in the order of occurrence:
 
 * ``mint TICKET -``: an entry minted a ticket;
-* ``send TICKET RELAY``: its entry sent it to a relay;
+* ``send TICKET RELAY``: the entry sent it to a relay;
 * ``run TICKET UPSTREAM``: an upstream ran it;
-* ``answer TICKET KIND``: a caller was told its outcome;
-* ``bind TICKET KEY``: a caller was shown this ticket for its key, within one window.
+* ``answer TICKET KIND``: a caller received its outcome;
+* ``bind TICKET KEY``: a caller received this ticket for its key, within one window.
 
-An answer that is about a body, such as ``body-mismatch``, isn't about the ticket and isn't written.
+Answers that concern a body rather than the ticket, such as ``body-mismatch``, are not recorded.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from rhubarbhinge.once._outcome import OutcomeKind
-from rhubarbhinge.once._violation import Fault, Violation
+from rhubarbhinge.once._violation import Violation, ViolationKind
 
 _FIELDS = 3
 
 
 @dataclass(slots=True)
-class _State:
+class _HistoryState:
     minted: set[str] = field(default_factory=set)
     sent: set[str] = field(default_factory=set)
     ran: set[str] = field(default_factory=set)
@@ -32,68 +32,72 @@
 def check_history(lines: Iterable[str]) -> list[Violation]:
     """Check a history.
 
-    :param lines: the events, oldest first; empty lines are passed over.
-    :returns: every violation, in the order of the lines; empty if all promises held.
+    :param lines: the events, oldest first; empty lines are skipped.
+    :returns: all violations in the order of the lines; empty if all guarantees held.
     """
-    state = _State()
-    found: list[Violation] = []
+    state = _HistoryState()
+    violations: list[Violation] = []
     for number, line in enumerate(lines, start=1):
         if not line.strip():
             continue
         for fault, subject in _check_line(state, line):
-            found.append(Violation(fault, number, subject))
-    return found
+            violations.append(Violation(fault, number, subject))
+    return violations
 
 
-def _check_line(state: _State, line: str) -> list[tuple[Fault, str]]:
+def _check_line(state: _HistoryState, line: str) -> list[tuple[ViolationKind, str]]:
     parts = line.split()
     if len(parts) != _FIELDS or parts[0] not in _CHECKS:
-        return [(Fault.MALFORMED, line)]
+        return [(ViolationKind.MALFORMED, line)]
     name, ticket, detail = parts
     return _CHECKS[name](state, ticket, detail)
 
 
-def _faults(found: dict[Fault, bool], ticket: str) -> list[tuple[Fault, str]]:
-    return [(fault, ticket) for fault, holds in found.items() if holds]
+def _faults(checks: dict[ViolationKind, bool], ticket: str) -> list[tuple[ViolationKind, str]]:
+    return [(fault, ticket) for fault, holds in checks.items() if holds]
 
 
-def _on_mint(state: _State, ticket: str, _detail: str) -> list[tuple[Fault, str]]:
+def _on_mint(state: _HistoryState, ticket: str, _detail: str) -> list[tuple[ViolationKind, str]]:
     state.minted.add(ticket)
     return []
 
 
-def _on_send(state: _State, ticket: str, _relay: str) -> list[tuple[Fault, str]]:
-    found = {
-        Fault.SENT_UNMINTED: ticket not in state.minted,
-        Fault.SENT_TWICE: ticket in state.sent,
-        Fault.REFUSED_THEN_SENT: ticket in state.refused,
+def _on_send(state: _HistoryState, ticket: str, _relay: str) -> list[tuple[ViolationKind, str]]:
+    checks = {
+        ViolationKind.SENT_UNMINTED: ticket not in state.minted,
+        ViolationKind.SENT_TWICE: ticket in state.sent,
+        ViolationKind.REFUSED_THEN_SENT: ticket in state.refused,
     }
     state.sent.add(ticket)
-    return _faults(found, ticket)
+    return _faults(checks, ticket)
 
 
-def _on_run(state: _State, ticket: str, _upstream: str) -> list[tuple[Fault, str]]:
-    found = {
-        Fault.RAN_UNSENT: ticket not in state.sent,
-        Fault.RAN_TWICE: ticket in state.ran,
-        Fault.REFUSED_BUT_RAN: ticket in state.refused,
+def _on_run(state: _HistoryState, ticket: str, _upstream: str) -> list[tuple[ViolationKind, str]]:
+    checks = {
+        ViolationKind.RAN_UNSENT: ticket not in state.sent,
+        ViolationKind.RAN_TWICE: ticket in state.ran,
+        ViolationKind.REFUSED_BUT_RAN: ticket in state.refused,
     }
     state.ran.add(ticket)
-    return _faults(found, ticket)
+    return _faults(checks, ticket)
 
 
-def _on_answer(state: _State, ticket: str, kind: str) -> list[tuple[Fault, str]]:
+def _on_answer(state: _HistoryState, ticket: str, kind: str) -> list[tuple[ViolationKind, str]]:
     if kind == OutcomeKind.RAN:
-        return [] if ticket in state.ran else [(Fault.ANSWERED_WITHOUT_RUN, ticket)]
+        return [] if ticket in state.ran else [(ViolationKind.ANSWERED_WITHOUT_RUN, ticket)]
     if kind == OutcomeKind.REFUSED_NOT_RUN:
         state.refused.add(ticket)
-        return [(Fault.REFUSED_BUT_RAN, ticket)] if ticket in state.ran else []
-    return [] if kind == OutcomeKind.UNKNOWN else [(Fault.MALFORMED, f"answer {ticket} {kind}")]
+        return [(ViolationKind.REFUSED_BUT_RAN, ticket)] if ticket in state.ran else []
+    return (
+        []
+        if kind == OutcomeKind.UNKNOWN
+        else [(ViolationKind.MALFORMED, f"answer {ticket} {kind}")]
+    )
 
 
-def _on_bind(state: _State, ticket: str, key: str) -> list[tuple[Fault, str]]:
+def _on_bind(state: _HistoryState, ticket: str, key: str) -> list[tuple[ViolationKind, str]]:
     first = state.bound.setdefault(key, ticket)
-    return [] if first == ticket else [(Fault.KEY_TWO_TICKETS, key)]
+    return [] if first == ticket else [(ViolationKind.KEY_TWO_TICKETS, key)]
 
 
 _CHECKS = {
--- a/rhubarbhinge/once/_asker.py
+++ b/rhubarbhinge/once/_requester.py
@@ -1,10 +1,10 @@
-"""Who waits for an outcome."""
+"""Requesters of an outcome: callers of this entry and other entries."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
-class LocalAsker:
+class LocalRequester:
     """A caller's request on this entry.
 
     :param request: number of the request at the daemon.
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerAsker:
+class PeerRequester:
     """A call from another entry.
 
     :param entry: name of the other entry.
@@ -27,4 +27,4 @@
     call: int
 
 
-Asker = LocalAsker | PeerAsker
+Requester = LocalRequester | PeerRequester
--- a/rhubarbhinge/once/_signer.py
+++ b/rhubarbhinge/once/_signer.py
@@ -1,92 +1,92 @@
-"""Signing and checking of tickets."""
+"""Signing and verification of tickets."""
 
 import base64
 import binascii
 import hmac
 import struct
 
-from rhubarbhinge.once._codes import Code
-from rhubarbhinge.once._digest import DIGEST_BYTES
-from rhubarbhinge.once._fault import TicketFault
+from rhubarbhinge.once._body_digest import DIGEST_BYTES
+from rhubarbhinge.once._invalid_ticket import InvalidTicket
+from rhubarbhinge.once._outcome_codes import OutcomeCode
 from rhubarbhinge.once._ticket import Ticket
 
 MAC_BYTES = 16
-"""Length of a signature; half of HMAC-SHA256's output, the least that RFC 2104 advises."""
-TEXT_MOST = 512
-"""Longest text that is looked at, in characters."""
-NAME_MOST_BYTES = 64
-"""Longest entry name and action name in a ticket."""
-LEAST_KEY_BYTES = 16
-"""Shortest deployment key that is accepted."""
-_PURPOSE = b"rhubarbhinge ticket 1"
-_HEAD = struct.Struct(">QIQBB")
+"""Length of a signature: half of HMAC-SHA256's output, the minimum that RFC 2104 recommends."""
+MAX_TEXT_CHARS = 512
+"""Maximum length of a ticket's text, in characters; longer texts are rejected undecoded."""
+MAX_NAME_BYTES = 64
+"""Maximum length of the entry name and of the action name in a ticket."""
+MIN_KEY_BYTES = 16
+"""Minimum length of a deployment key."""
+_KEY_DERIVATION_LABEL = b"rhubarbhinge ticket 1"
+_HEADER = struct.Struct(">QIQBB")
 
 
 class Signer:
-    """Mints and checks the tickets of one entry.
+    """Mints the tickets of one entry and verifies tickets of any entry.
 
-    :param deployment_key: the secret that all entries of a deployment share.
+    :param deployment_key: the secret shared by all entries of a deployment.
     :param entry: name of this entry.
     :param incarnation: incarnation of this entry.
     :raises ValueError: if the key is too short.
     """
 
     def __init__(self, deployment_key: bytes, entry: str, incarnation: int):
-        if len(deployment_key) < LEAST_KEY_BYTES:
-            raise ValueError(f"a deployment key has at least {LEAST_KEY_BYTES} bytes")
-        self._key = hmac.digest(deployment_key, _PURPOSE, "sha256")
+        if len(deployment_key) < MIN_KEY_BYTES:
+            raise ValueError(f"the deployment key must have at least {MIN_KEY_BYTES} bytes")
+        self._key = hmac.digest(deployment_key, _KEY_DERIVATION_LABEL, "sha256")
         self.entry = entry
         self.incarnation = incarnation
 
     def mint(self, sequence: int, action: str, digest: bytes, expires_ms: int) -> str:
         """Sign a ticket of this entry.
 
-        :param sequence: number of the ticket; the caller never uses one twice.
+        :param sequence: number of the ticket; must be unique within the incarnation.
         :param action: name of the action.
         :param digest: digest of the action and the body.
         :param expires_ms: end of its lifetime on this entry's clock.
-        :returns: the ticket's text, safe in a URL.
+        :returns: the ticket's URL-safe text.
         """
         ticket = Ticket(self.entry, self.incarnation, sequence, action, expires_ms, digest)
         packed = _pack(ticket)
         return base64.urlsafe_b64encode(packed + self._mac(packed)).rstrip(b"=").decode()
 
-    def verify(self, text: str) -> Ticket | TicketFault:
-        """Check form and signature; this says nothing of the ticket's owner or lifetime.
+    def verify(self, text: str) -> Ticket | InvalidTicket:
+        """Verify the format and signature of a ticket, but neither its owner nor its lifetime.
 
-        :param text: what a caller showed.
+        :param text: the text received from a caller.
         :returns: the ticket, or ``ticket-malformed`` or ``ticket-forged``.
         """
         data = _decode(text)
         if data is None:
-            return TicketFault(Code.MALFORMED)
+            return InvalidTicket(OutcomeCode.MALFORMED)
         packed, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
         if not hmac.compare_digest(mac, self._mac(packed)):
-            return TicketFault(Code.FORGED)
+            return InvalidTicket(OutcomeCode.FORGED)
         ticket = _unpack(packed)
-        return TicketFault(Code.MALFORMED) if ticket is None else ticket
+        return InvalidTicket(OutcomeCode.MALFORMED) if ticket is None else ticket
 
-    def verify_own(self, text: str, now_ms: int) -> Ticket | TicketFault:
-        """Check that a ticket is this incarnation's and has not expired.
+    def verify_own(self, text: str, now_ms: int) -> Ticket | InvalidTicket:
+        """Verify a ticket, that this incarnation minted it, and that it has not expired.
 
-        Only here is the expiry compared with a clock, as only this process reads the clock that
-        the expiry was taken from.
+        Only the process that minted a ticket can check its expiry, as it is a time on that
+        process's clock.
 
-        :param text: what a caller showed.
+        :param text: the text received from a caller.
         :param now_ms: time on this entry's clock.
-        :returns: the ticket, or a fault.
+        :returns: the ticket, or the reason why it is invalid.
         """
         ticket = self.verify(text)
-        if isinstance(ticket, TicketFault):
+        if isinstance(ticket, InvalidTicket):
             return ticket
         if not self.owns(ticket):
-            return TicketFault(Code.OTHER_INCARNATION)
-        return TicketFault(Code.EXPIRED) if now_ms >= ticket.expires_ms else ticket
+            return InvalidTicket(OutcomeCode.OTHER_INCARNATION)
+        return InvalidTicket(OutcomeCode.EXPIRED) if now_ms >= ticket.expires_ms else ticket
 
     def owns(self, ticket: Ticket) -> bool:
-        """Tell whether this incarnation minted a ticket.
+        """Return whether this incarnation minted a ticket.
 
-        :param ticket: a checked ticket.
+        :param ticket: a verified ticket.
         :returns: True if both name and incarnation are this entry's.
         """
         return (ticket.entry, ticket.incarnation) == (self.entry, self.incarnation)
@@ -97,24 +97,24 @@
 
 def _pack(ticket: Ticket) -> bytes:
     entry, action = ticket.entry.encode(), ticket.action.encode()
-    if max(len(entry), len(action)) > NAME_MOST_BYTES or len(ticket.digest) != DIGEST_BYTES:
-        raise ValueError("a ticket's name or digest has the wrong length")
-    head = _HEAD.pack(
+    if max(len(entry), len(action)) > MAX_NAME_BYTES or len(ticket.digest) != DIGEST_BYTES:
+        raise ValueError("ticket has a name that is too long, or a digest of invalid length")
+    head = _HEADER.pack(
         ticket.incarnation, ticket.sequence, ticket.expires_ms, len(entry), len(action)
     )
     return head + entry + action + ticket.digest
 
 
 def _unpack(packed: bytes) -> Ticket | None:
-    if len(packed) < _HEAD.size:
+    if len(packed) < _HEADER.size:
         return None
-    incarnation, sequence, expires_ms, entry_size, action_size = _HEAD.unpack_from(packed)
-    action_at = _HEAD.size + entry_size
+    incarnation, sequence, expires_ms, entry_size, action_size = _HEADER.unpack_from(packed)
+    action_at = _HEADER.size + entry_size
     digest_at = action_at + action_size
     if len(packed) != digest_at + DIGEST_BYTES:
         return None
     try:
-        entry = packed[_HEAD.size : action_at].decode()
+        entry = packed[_HEADER.size : action_at].decode()
         action = packed[action_at:digest_at].decode()
     except UnicodeDecodeError:
         return None
@@ -122,7 +122,7 @@
 
 
 def _decode(text: str) -> bytes | None:
-    if not 0 < len(text) <= TEXT_MOST or not text.isascii():
+    if not 0 < len(text) <= MAX_TEXT_CHARS or not text.isascii():
         return None
     padded = text.encode() + b"=" * (-len(text) % 4)
     try:
--- a/rhubarbhinge/once/_ledger.py
+++ b/rhubarbhinge/once/_ticket_store.py
@@ -1,27 +1,27 @@
-"""The tickets that one entry has minted."""
+"""The tickets minted by one entry, with their states and outcomes."""
 
-from rhubarbhinge.once._answers import answer
-from rhubarbhinge.once._asker import Asker
-from rhubarbhinge.once._codes import Code, not_run, outcome, unknown
-from rhubarbhinge.once._digest import body_digest
+from rhubarbhinge.once._body_digest import body_digest
 from rhubarbhinge.once._effects import Effect, StartRun
-from rhubarbhinge.once._fault import TicketFault
+from rhubarbhinge.once._invalid_ticket import InvalidTicket
+from rhubarbhinge.once._once_settings import OnceSettings
 from rhubarbhinge.once._outcome import Outcome, OutcomeKind
-from rhubarbhinge.once._permit import SendPermit
-from rhubarbhinge.once._record import TicketRecord, TicketState
-from rhubarbhinge.once._settings import OnceSettings
+from rhubarbhinge.once._outcome_codes import OutcomeCode, not_run, outcome, unknown
+from rhubarbhinge.once._outcome_effects import outcome_effect
+from rhubarbhinge.once._requester import Requester
+from rhubarbhinge.once._send_permit import SendPermit
 from rhubarbhinge.once._signer import Signer
 from rhubarbhinge.once._ticket import Ticket
+from rhubarbhinge.once._ticket_record import TicketRecord, TicketState
 
 NOT_STARTED_RETRY_MS = 1_000
-"""Advice to a reader of an unused ticket, in ms."""
+"""Retry delay returned for a read of an unused ticket, in ms."""
 
 
-class TicketLedger:
-    """The tickets that one entry has minted, each with its state and outcome.
+class TicketStore:
+    """The tickets minted by one entry, each with its state and outcome.
 
-    :param signer: mints and checks tickets under this entry's name and incarnation.
-    :param settings: bounds.
+    :param signer: mints and verifies tickets under this entry's name and incarnation.
+    :param settings: limits.
     """
 
     def __init__(self, signer: Signer, settings: OnceSettings):
@@ -37,14 +37,14 @@
 
     @property
     def running(self) -> int:
-        """Tell how many tickets are consumed and have no outcome yet.
+        """Return the number of tickets that are consumed and have no outcome yet.
 
         :returns: the number.
         """
         return len(self._running)
 
     def unused(self, now_ms: int) -> int:
-        """Tell how many tickets have neither expired nor been used.
+        """Return the number of tickets that have neither expired nor been used.
 
         :param now_ms: time on this entry's clock.
         :returns: the number.
@@ -52,20 +52,20 @@
         return sum(_is_unused(record, now_ms) for record in self._records.values())
 
     def open_until_ms(self, now_ms: int) -> int:
-        """Tell when the last open ticket is over at the latest.
+        """Return the time by which all open tickets have expired and all runs have ended.
 
         :param now_ms: time on this entry's clock.
-        :returns: that time; now if none is open.
+        :returns: time on this entry's clock; now if nothing is open.
         """
         ends = [r.ticket.expires_ms for r in self._records.values() if _is_unused(r, now_ms)]
         ends += [self._records[sequence].deadline_ms for sequence in self._running]
         return max(ends, default=now_ms)
 
     def full_for_ms(self, now_ms: int) -> int:
-        """Tell how long no ticket can be minted.
+        """Return for how long no ticket can be minted because the store is full.
 
         :param now_ms: time on this entry's clock.
-        :returns: time until the next place is free, in ms; 0 if one is free.
+        :returns: time until the oldest record expires, in ms; 0 if the store is not full.
         """
         if len(self._records) < self._settings.most_tickets:
             return 0
@@ -73,7 +73,7 @@
         return max(1, oldest.ticket.expires_ms + self._settings.keep_ms - now_ms)
 
     def mint(self, action: str, digest: bytes, now_ms: int) -> str:
-        """Mint a ticket; there must be a free place.
+        """Mint a ticket; the store must not be full.
 
         :param action: name of the action.
         :param digest: digest of the action and the body.
@@ -83,24 +83,24 @@
         sequence = self._next_sequence
         self._next_sequence += 1
         expires_ms = now_ms + self._settings.lifetime_ms
-        me = self._signer
-        ticket = Ticket(me.entry, me.incarnation, sequence, action, expires_ms, digest)
+        signer = self._signer
+        ticket = Ticket(signer.entry, signer.incarnation, sequence, action, expires_ms, digest)
         text = self._signer.mint(sequence, action, digest, expires_ms)
         self._records[sequence] = TicketRecord(ticket, text)
         return text
 
-    def left_ms(self, text: str, now_ms: int) -> int:
-        """Tell the rest of a ticket's lifetime.
+    def remaining_ms(self, text: str, now_ms: int) -> int:
+        """Return the remaining lifetime of a ticket.
 
         :param text: the ticket's text.
         :param now_ms: time on this entry's clock.
-        :returns: the rest in ms; 0 if it is over or another entry's.
+        :returns: time in ms; 0 if the ticket has expired or is another entry's.
         """
         record = self._own_record(text)
         return 0 if record is None else max(0, record.ticket.expires_ms - now_ms)
 
-    def release(self, text: str) -> None:
-        """Drop a ticket that nobody has been shown.
+    def discard(self, text: str) -> None:
+        """Discard a ticket that has not been returned to any caller.
 
         :param text: the ticket's text.
         """
@@ -109,60 +109,62 @@
             del self._records[record.ticket.sequence]
 
     def run(
-        self, asker: Asker, ticket: Ticket, text: str, body: bytes, now_ms: int
+        self, requester: Requester, ticket: Ticket, text: str, body: bytes, now_ms: int
     ) -> list[Effect]:
-        """Run a ticket of this ledger, once; a copy waits for, or reads, the same outcome.
+        """Run a ticket of this store once; a repeated request gets the outcome of the same run.
 
-        :param asker: who waits for the outcome.
-        :param ticket: the checked ticket.
+        :param requester: the requester of the outcome.
+        :param ticket: the verified ticket.
         :param text: its text.
         :param body: the caller's body.
         :param now_ms: time on this entry's clock.
-        :returns: the effects; with ``StartRun`` the ticket is consumed already.
+        :returns: the effects; on ``StartRun`` the ticket is already marked as consumed.
         """
         if body_digest(ticket.action, body) != ticket.digest:
-            return [answer(asker, text, not_run(Code.BODY_MISMATCH))]
+            return [outcome_effect(requester, text, not_run(OutcomeCode.BODY_MISMATCH))]
         record = self._records.get(ticket.sequence)
         if record is None:
-            return [answer(asker, text, unknown(Code.EXPIRED))]
+            return [outcome_effect(requester, text, unknown(OutcomeCode.EXPIRED))]
         if record.state is TicketState.MINTED:
-            return self._start(record, asker, text, body, now_ms)
-        return self._wait(record, asker, text)
+            return self._start(record, requester, text, body, now_ms)
+        return self._wait(record, requester, text)
 
-    def read(self, asker: Asker, ticket: Ticket, text: str, now_ms: int) -> list[Effect]:
-        """Read the outcome of a ticket of this ledger.
+    def read(self, requester: Requester, ticket: Ticket, text: str, now_ms: int) -> list[Effect]:
+        """Read the outcome of a ticket of this store.
 
-        :param asker: who waits for the outcome.
-        :param ticket: the checked ticket.
+        :param requester: the requester of the outcome.
+        :param ticket: the verified ticket.
         :param text: its text.
         :param now_ms: time on this entry's clock.
         :returns: the effects; never a run.
         """
         record = self._records.get(ticket.sequence)
         if record is None:
-            return [answer(asker, text, unknown(Code.EXPIRED))]
+            return [outcome_effect(requester, text, unknown(OutcomeCode.EXPIRED))]
         if record.state is not TicketState.MINTED:
-            return self._wait(record, asker, text)
+            return self._wait(record, requester, text)
         if now_ms >= ticket.expires_ms:
-            record.waiters.append(asker)
-            return self._finish(record, not_run(Code.EXPIRED_UNUSED))
-        return [answer(asker, text, unknown(Code.NOT_STARTED, NOT_STARTED_RETRY_MS))]
+            record.waiters.append(requester)
+            return self._finish(record, not_run(OutcomeCode.EXPIRED_UNUSED))
+        return [
+            outcome_effect(requester, text, unknown(OutcomeCode.NOT_STARTED, NOT_STARTED_RETRY_MS))
+        ]
 
     def on_send(self, text: str, now_ms: int) -> SendPermit:
-        """Check once more, just before the first byte of a run leaves.
+        """Return whether a run may be sent, immediately before its first byte is sent.
 
-        A process that was frozen after ``StartRun`` finds its ticket expired or its run past its
-        deadline here; then nothing is sent, and the outcome is known to be not run.
+        This detects that the process was suspended after ``StartRun`` until the ticket expired or
+        the run's deadline passed. Nothing is sent then, and the run is known not to have run.
 
         :param text: the ticket's text.
         :param now_ms: time on this entry's clock, read after everything that can block.
-        :returns: whether to send; True at most once for a ticket.
+        :returns: the permit; it allows sending at most once for a ticket.
         """
         record = self._own_record(text)
         if record is None or record.state is not TicketState.CONSUMED:
             return SendPermit(False)
         if now_ms >= min(record.deadline_ms, record.ticket.expires_ms):
-            late = not_run(Code.LATE_SEND)
+            late = not_run(OutcomeCode.LATE_SEND)
             return SendPermit(False, tuple(self._finish(record, late)))
         record.state = TicketState.SENT
         return SendPermit(True)
@@ -170,16 +172,16 @@
     def on_upstream(
         self, text: str, kind: OutcomeKind, payload: bytes, retry_after_ms: int, now_ms: int
     ) -> list[Effect]:
-        """Take what came of a run.
+        """Handle the outcome of a run.
 
-        ``refused_not_run`` is for two cases only: nothing was sent, or the upstream refused in so
-        many words. Everything else but an answer is ``unknown``, and so is a refusal that comes
-        after the run's deadline: a relay's guard may then have forgotten that it sent the ticket.
+        ``refused_not_run`` is for two cases only: nothing was sent, or the upstream refused
+        explicitly. Everything else except an answer is ``unknown``. So is a refusal after the run's
+        deadline, as the relay may by then have forgotten that it sent the ticket.
 
         :param text: the ticket's text.
-        :param kind: what is known.
+        :param kind: what is known of the run.
         :param payload: the upstream's result, when it ran.
-        :param retry_after_ms: the upstream's advice, when it refused.
+        :param retry_after_ms: the retry delay that the upstream asked for, when it refused.
         :param now_ms: time on this entry's clock.
         :returns: the effects.
         """
@@ -194,10 +196,10 @@
         return self._finish(record, self._outcome_of(kind, payload, retry_after_ms))
 
     def end_late_runs(self, now_ms: int) -> list[Effect]:
-        """End the runs that are past their deadline.
+        """End the runs whose deadline has passed.
 
         :param now_ms: time on this entry's clock.
-        :returns: the answers.
+        :returns: the answers to the waiting requesters.
         """
         effects: list[Effect] = []
         for sequence in sorted(self._running):
@@ -205,12 +207,12 @@
             if now_ms < record.deadline_ms:
                 continue
             sent = record.state is TicketState.SENT
-            found = unknown(Code.DEADLINE) if sent else not_run(Code.LATE_SEND)
-            effects += self._finish(record, found)
+            run_outcome = unknown(OutcomeCode.DEADLINE) if sent else not_run(OutcomeCode.LATE_SEND)
+            effects += self._finish(record, run_outcome)
         return effects
 
-    def forget(self, now_ms: int) -> None:
-        """Forget the tickets whose outcome is no longer kept.
+    def remove_expired(self, now_ms: int) -> None:
+        """Remove the tickets whose outcome is no longer kept.
 
         :param now_ms: time on this entry's clock.
         """
@@ -225,44 +227,44 @@
                 self._kept_bytes -= len(record.outcome.result)
 
     def _start(
-        self, record: TicketRecord, asker: Asker, text: str, body: bytes, now_ms: int
+        self, record: TicketRecord, requester: Requester, text: str, body: bytes, now_ms: int
     ) -> list[Effect]:
         if now_ms >= record.ticket.expires_ms:
-            record.waiters.append(asker)
-            return self._finish(record, not_run(Code.EXPIRED_UNUSED))
+            record.waiters.append(requester)
+            return self._finish(record, not_run(OutcomeCode.EXPIRED_UNUSED))
         record.state = TicketState.CONSUMED
         record.deadline_ms = now_ms + self._settings.run_ms
-        record.waiters.append(asker)
+        record.waiters.append(requester)
         self._running.add(record.ticket.sequence)
         return [StartRun(text, record.ticket.action, body, record.deadline_ms)]
 
-    def _wait(self, record: TicketRecord, asker: Asker, text: str) -> list[Effect]:
+    def _wait(self, record: TicketRecord, requester: Requester, text: str) -> list[Effect]:
         if record.outcome is not None:
-            return [answer(asker, text, record.outcome)]
-        if asker in record.waiters:
+            return [outcome_effect(requester, text, record.outcome)]
+        if requester in record.waiters:
             return []
         if len(record.waiters) >= self._settings.most_waiters:
-            late = unknown(Code.WAITERS_FULL, self._settings.run_ms)
-            return [answer(asker, text, late)]
-        record.waiters.append(asker)
+            late = unknown(OutcomeCode.WAITERS_FULL, self._settings.run_ms)
+            return [outcome_effect(requester, text, late)]
+        record.waiters.append(requester)
         return []
 
-    def _finish(self, record: TicketRecord, found: Outcome) -> list[Effect]:
+    def _finish(self, record: TicketRecord, run_outcome: Outcome) -> list[Effect]:
         record.state = TicketState.DONE
-        record.outcome = found
-        self._kept_bytes += len(found.result)
+        record.outcome = run_outcome
+        self._kept_bytes += len(run_outcome.result)
         self._running.discard(record.ticket.sequence)
         waiters, record.waiters = record.waiters, []
-        return [answer(asker, record.text, found) for asker in waiters]
+        return [outcome_effect(requester, record.text, run_outcome) for requester in waiters]
 
     def _outcome_of(self, kind: OutcomeKind, payload: bytes, retry_after_ms: int) -> Outcome:
         if kind is OutcomeKind.REFUSED_NOT_RUN:
-            return not_run(Code.UPSTREAM_REFUSED, retry_after_ms)
+            return not_run(OutcomeCode.UPSTREAM_REFUSED, retry_after_ms)
         if kind is OutcomeKind.UNKNOWN:
-            return unknown(Code.UPSTREAM_UNKNOWN)
+            return unknown(OutcomeCode.UPSTREAM_UNKNOWN)
         if not self._has_room(len(payload)):
-            return outcome(kind, Code.RESULT_DROPPED)
-        return outcome(kind, Code.DONE, result=payload)
+            return outcome(kind, OutcomeCode.RESULT_DROPPED)
+        return outcome(kind, OutcomeCode.DONE, result=payload)
 
     def _has_room(self, size: int) -> bool:
         if size > self._settings.most_result_bytes:
@@ -271,7 +273,7 @@
 
     def _own_record(self, text: str) -> TicketRecord | None:
         ticket = self._signer.verify(text)
-        if isinstance(ticket, TicketFault) or not self._signer.owns(ticket):
+        if isinstance(ticket, InvalidTicket) or not self._signer.owns(ticket):
             return None
         return self._records.get(ticket.sequence)
 
@@ -281,6 +283,6 @@
 
 
 def _may_replace(old: Outcome | None, kind: OutcomeKind) -> bool:
-    """Tell whether late news replaces an outcome; only an answer does, and only ``unknown``."""
+    """Return whether a late outcome replaces a previous one: only ``ran`` replaces ``unknown``."""
     was_unknown = old is not None and old.kind is OutcomeKind.UNKNOWN
     return was_unknown and kind is OutcomeKind.RAN
--- a/rhubarbhinge/once/tests/_fakes.py
+++ b/rhubarbhinge/once/tests/_fakes.py
@@ -1,20 +1,20 @@
-"""Entries, relays and an upstream log in memory, driven step by step by a schedule."""
+"""In-memory simulation of entries, relays and an upstream, driven step by step."""
 
 from collections.abc import Callable
 
 from rhubarbhinge.once import (
     AnswerOutcome,
     AnswerRedirect,
-    Forward,
-    KeyBook,
+    IdempotencyKeys,
     OnceSettings,
     OutcomeKind,
-    ReplyForward,
-    RunGuard,
+    RunDeduplicator,
     SendClaim,
+    SendForward,
+    SendForwardReply,
     Signer,
     StartRun,
-    TicketBook,
+    TicketService,
 )
 from rhubarbhinge.wire._key_claim import KeyClaim
 from rhubarbhinge.wire._key_claim_reply import KeyClaimReply
@@ -44,11 +44,11 @@
 
 
 class Fleet:
-    """All processes and what is on the way between them; ``history`` is what happened."""
+    """All processes and the messages in transit; ``history`` records what happened."""
 
-    def __init__(self, old: bool = True):
+    def __init__(self, past_window: bool = True):
         self.now_ms = 10_000
-        self.started_ms = self.now_ms - (2 * WINDOW_MS if old else 0)
+        self.started_ms = self.now_ms - (2 * WINDOW_MS if past_window else 0)
         self.incarnations = 0
         self.history: list[str] = []
         self.tickets: list[tuple[str, bytes]] = []
@@ -60,96 +60,100 @@
         self.outboxes: dict[str, list[StartRun]] = {}
         self.inboxes: dict[str, list[RunRequest]] = {}
         self.split: frozenset[str] = frozenset()
-        self.books: dict[str, TicketBook] = {}
-        self.keys: dict[str, KeyBook] = {}
-        self.guards: dict[str, RunGuard] = {}
+        self.services: dict[str, TicketService] = {}
+        self.keys: dict[str, IdempotencyKeys] = {}
+        self.deduplicators: dict[str, RunDeduplicator] = {}
         for name in ENTRIES:
             self.start_entry(name, self.started_ms)
         for name in RELAYS:
             self.start_relay(name)
 
     def start_entry(self, name: str, started_ms: int) -> None:
-        """Start an entry anew: it knows nothing, and has lost what it had not sent."""
+        """Start or restart an entry, which loses all state and unsent messages."""
         self.incarnations += 1
         offset_ms = CLOCK_OFFSETS_MS[name]
-        keys = KeyBook(name, self.incarnations, SETTINGS, started_ms + offset_ms)
+        keys = IdempotencyKeys(name, self.incarnations, SETTINGS, started_ms + offset_ms)
         signer = Signer(KEY, name, self.incarnations)
-        self.books[name] = TicketBook(signer, keys, SETTINGS)
+        self.services[name] = TicketService(signer, keys, SETTINGS)
         self.keys[name] = keys
         self.outboxes[name] = []
         self.refresh_list(name)
 
     def refresh_list(self, name: str) -> None:
-        """Let an entry read the list of entries, unless it is cut off."""
+        """Update an entry's list of entries, unless it is partitioned."""
         if name not in self.split:
             self.keys[name].on_entries(self.listed, self.clock(name), self.clock(name))
 
     def clock(self, name: str) -> int:
-        """Read the clock of a process; no two clocks agree."""
+        """Return the time on the clock of a process; all clocks differ."""
         return self.now_ms + CLOCK_OFFSETS_MS[name]
 
     def sleep(self, duration_ms: int) -> None:
-        """Let time pass; those that aren't cut off then read the list."""
+        """Advance the time, then update the lists of the entries that are not partitioned."""
         self.now_ms += duration_ms
         for name in ENTRIES:
             self.refresh_list(name)
 
     def tick(self, entry: str) -> None:
-        """Let an entry end what is past its time."""
-        self.act(entry, lambda book, now_ms: book.tick(now_ms))
+        """Tick an entry, so that it ends overdue work."""
+        self.act(entry, lambda service, now_ms: service.tick(now_ms))
 
     def flush(self) -> None:
-        """Deliver what is on the way, and what it leads to between entries, in order."""
+        """Deliver the messages in transit, and those sent in response, in order."""
         for _ in range(len(self.network) * 4):
-            self.deliver(self._first_that_passes(), False)
+            self.deliver(self._first_deliverable(), False)
 
-    def _first_that_passes(self) -> int:
+    def _first_deliverable(self) -> int:
         ends = enumerate(self.network)
         passes = (i for i, (a, b, _) in ends if (a in self.split) == (b in self.split))
         return next(passes, 0)
 
     def start_relay(self, name: str) -> None:
-        """Start a relay anew."""
+        """Start or restart a relay."""
         self.incarnations += 1
-        self.guards[name] = RunGuard(name, self.incarnations, SETTINGS.key_window_ms, 100)
+        self.deduplicators[name] = RunDeduplicator(
+            name, self.incarnations, SETTINGS.key_window_ms, 100
+        )
         self.inboxes[name] = []
 
     def mint(self, entry: str, body: bytes, key: str | None) -> int:
         """Send a request without a ticket."""
         request = self._new_request(None, key, body)
-        self.act(entry, lambda book, now_ms: book.on_mint(request, "order", body, key, now_ms))
+        self.act(
+            entry, lambda service, now_ms: service.on_mint(request, "order", body, key, now_ms)
+        )
         return request
 
     def run(self, entry: str, ticket: str, body: bytes) -> int:
         """Send a request with a ticket."""
         request = self._new_request(ticket, None, body)
-        self.act(entry, lambda book, now_ms: book.on_run(request, ticket, body, now_ms))
+        self.act(entry, lambda service, now_ms: service.on_run(request, ticket, body, now_ms))
         return request
 
     def read(self, entry: str, ticket: str) -> int:
         """Read a ticket's outcome."""
         request = self._new_request(ticket, None, b"")
-        self.act(entry, lambda book, now_ms: book.on_read(request, ticket, now_ms))
+        self.act(entry, lambda service, now_ms: service.on_read(request, ticket, now_ms))
         return request
 
-    def act(self, entry: str, step: Callable[[TicketBook, int], list]) -> None:
-        """Take one step of a book and carry out its effects."""
-        for effect in step(self.books[entry], self.clock(entry)):
-            self._carry_out(entry, effect)
+    def act(self, entry: str, step: Callable[[TicketService, int], list]) -> None:
+        """Call an entry and apply the effects that it returns."""
+        for effect in step(self.services[entry], self.clock(entry)):
+            self._apply_effect(entry, effect)
 
     def send_run(self, entry: str, relay: str) -> None:
-        """Let an entry send its oldest started run, if it still may."""
+        """Send an entry's oldest started run, if that is still permitted."""
         if not self.outboxes[entry]:
             return
         start = self.outboxes[entry].pop(0)
-        permit = self.books[entry].on_send(start.ticket, self.clock(entry))
+        permit = self.services[entry].on_send(start.ticket, self.clock(entry))
         for effect in permit.effects:
-            self._carry_out(entry, effect)
+            self._apply_effect(entry, effect)
         if not permit.send:
             return
         self.history.append(f"send {start.ticket} {relay}")
-        sender = self.books[entry]._signer.incarnation
-        receiver = self.guards[relay]._incarnation
+        sender = self.services[entry]._signer.incarnation
+        receiver = self.deduplicators[relay]._incarnation
         relay_deadline_ms = start.deadline_ms - self.clock(entry) + self.clock(relay)
         message = RunRequest(
             entry,
@@ -164,17 +168,17 @@
         self.network.append((entry, relay, message))
 
     def call_upstream(self, relay: str, result: int) -> None:
-        """Let a relay send its oldest run; the result says what comes of it."""
+        """Send a relay's oldest run to the upstream; ``result`` selects its outcome."""
         if not self.inboxes.get(relay):
             return
         request = self.inboxes[relay].pop(0)
-        reply = self.guards[relay].may_send(request, self.clock(relay))
+        reply = self.deduplicators[relay].may_send(request, self.clock(relay))
         if reply is None:
             reply = self._upstream(request, result)
         self.network.append((relay, request.entry, reply))
 
     def deliver(self, at: int, keep: bool) -> None:
-        """Deliver one message, if its ends can reach each other; kept, it comes again."""
+        """Deliver one message, if its ends are not partitioned; keep it to deliver it twice."""
         if not self.network:
             return
         index = at % len(self.network)
@@ -186,7 +190,7 @@
         self._receive(receiver, message)
 
     def settle(self) -> None:
-        """Let everything that is on the way arrive, in order."""
+        """Deliver all messages and execute all runs, in order."""
         while self.network or any(self.outboxes.values()) or any(self.inboxes.values()):
             for name in ENTRIES:
                 self.send_run(name, RELAYS[0])
@@ -199,7 +203,7 @@
         self.requests[request] = (ticket, key, body, self.now_ms)
         return request
 
-    def _carry_out(self, entry: str, effect: object) -> None:
+    def _apply_effect(self, entry: str, effect: object) -> None:
         match effect:
             case AnswerRedirect():
                 self._redirect(effect)
@@ -207,9 +211,9 @@
                 self._answer(effect)
             case StartRun():
                 self.outboxes[entry].append(effect)
-            case Forward():
+            case SendForward():
                 self.network.append((entry, effect.owner, effect.message))
-            case ReplyForward() | SendClaim():
+            case SendForwardReply() | SendClaim():
                 self.network.append((entry, effect.entry, effect.message))
 
     def _redirect(self, effect: AnswerRedirect) -> None:
@@ -223,7 +227,7 @@
             self.history.append(f"bind {effect.ticket} {self._epoch(key, asked_ms)}")
 
     def _epoch(self, key: str, asked_ms: int) -> str:
-        """Name the stretch of requests with a key that are less than the window apart."""
+        """Return the name of the series of requests with a key at intervals below the window."""
         number, last_ms = self.key_epochs.get(key, (0, asked_ms))
         number += asked_ms >= last_ms + WINDOW_MS
         self.key_epochs[key] = (number, max(last_ms, asked_ms))
@@ -244,28 +248,31 @@
             case RunReply():
                 self._run_reply(name, message)
             case TicketForward():
-                self.act(name, lambda book, now_ms: book.on_forwarded(message, now_ms))
+                self.act(name, lambda service, now_ms: service.on_forwarded(message, now_ms))
             case KeyClaim():
-                reply = self.books[name].on_key_claim(message, now_ms)
+                reply = self.services[name].on_key_claim(message, now_ms)
                 self.network.append((name, message.from_entry, reply))
             case KeyClaimReply():
-                self.act(name, lambda book, now_ms: book.on_key_reply(message, now_ms))
+                self.act(name, lambda service, now_ms: service.on_key_reply(message, now_ms))
             case _:
-                self.act(name, lambda book, now_ms: book.on_forward_result(message, now_ms))
+                self.act(name, lambda service, now_ms: service.on_forward_result(message, now_ms))
 
     def _relay_receive(self, relay: str, request: RunRequest) -> None:
-        reply = self.guards[relay].on_request(request, self.clock(relay))
+        reply = self.deduplicators[relay].on_request(request, self.clock(relay))
         if reply is None:
             self.inboxes[relay].append(request)
         else:
             self.network.append((relay, request.entry, reply))
 
     def _run_reply(self, entry: str, reply: RunReply) -> None:
-        if reply.entry_incarnation != self.books[entry]._signer.incarnation:
+        if reply.entry_incarnation != self.services[entry]._signer.incarnation:
             return
         kind = OutcomeKind(reply.kind)
         self.act(
-            entry, lambda b, now_ms: b.on_upstream(reply.ticket, kind, reply.result, 0, now_ms)
+            entry,
+            lambda service, now_ms: service.on_upstream(
+                reply.ticket, kind, reply.result, 0, now_ms
+            ),
         )
 
     def _upstream(self, request: RunRequest, result: int) -> RunReply:
--- a/rhubarbhinge/once/tests/test_history.py
+++ b/rhubarbhinge/once/tests/test_history.py
@@ -1,10 +1,10 @@
-"""Tests that the history checker catches each planted violation."""
+"""Tests of the history checker with one violation of each kind."""
 
 import unittest
 
-from rhubarbhinge.once import Fault, check_history
+from rhubarbhinge.once import ViolationKind, check_history
 
-GOOD = [
+VALID_HISTORY = [
     "mint t -",
     "bind t k",
     "answer t unknown",
@@ -16,35 +16,35 @@
 ]
 
 
-def faults(lines: list[str]) -> list[Fault]:
-    return [violation.fault for violation in check_history(lines)]
+def faults(lines: list[str]) -> list[ViolationKind]:
+    return [violation.kind for violation in check_history(lines)]
 
 
 class HistoryTest(unittest.TestCase):
-    def test_a_good_history_passes(self):
-        self.assertEqual([], faults([*GOOD, ""]))
-
-    def test_planted_violations(self):
-        planted = {
-            Fault.SENT_TWICE: ["send t r2"],
-            Fault.SENT_UNMINTED: ["send x r1"],
-            Fault.RAN_TWICE: ["run t u2"],
-            Fault.RAN_UNSENT: ["mint w -", "run w u1"],
-            Fault.REFUSED_BUT_RAN: ["answer t refused_not_run"],
-            Fault.REFUSED_THEN_SENT: ["send v r1"],
-            Fault.ANSWERED_WITHOUT_RUN: ["mint w -", "answer w ran"],
-            Fault.KEY_TWO_TICKETS: ["mint w -", "bind w k"],
-            Fault.MALFORMED: ["answer t maybe"],
+    def test_valid_history_passes(self):
+        self.assertEqual([], faults([*VALID_HISTORY, ""]))
+
+    def test_each_violation_is_found(self):
+        violating_lines = {
+            ViolationKind.SENT_TWICE: ["send t r2"],
+            ViolationKind.SENT_UNMINTED: ["send x r1"],
+            ViolationKind.RAN_TWICE: ["run t u2"],
+            ViolationKind.RAN_UNSENT: ["mint w -", "run w u1"],
+            ViolationKind.REFUSED_BUT_RAN: ["answer t refused_not_run"],
+            ViolationKind.REFUSED_THEN_SENT: ["send v r1"],
+            ViolationKind.ANSWERED_WITHOUT_RUN: ["mint w -", "answer w ran"],
+            ViolationKind.KEY_TWO_TICKETS: ["mint w -", "bind w k"],
+            ViolationKind.MALFORMED: ["answer t maybe"],
         }
-        self.assertEqual(set(Fault), set(planted))
-        for fault, lines in planted.items():
+        self.assertEqual(set(ViolationKind), set(violating_lines))
+        for fault, lines in violating_lines.items():
             with self.subTest(fault):
-                self.assertEqual([fault], faults([*GOOD, *lines]))
+                self.assertEqual([fault], faults([*VALID_HISTORY, *lines]))
 
-    def test_a_refusal_before_the_run_is_caught_at_the_run(self):
+    def test_run_after_a_refusal_is_reported_at_the_run(self):
         lines = ["mint t -", "send t r1", "answer t refused_not_run", "run t u1"]
         found = check_history(lines)
-        self.assertEqual([(Fault.REFUSED_BUT_RAN, 4)], [(v.fault, v.line) for v in found])
+        self.assertEqual([(ViolationKind.REFUSED_BUT_RAN, 4)], [(v.kind, v.line) for v in found])
 
     def test_malformed_lines(self):
-        self.assertEqual([Fault.MALFORMED] * 2, faults(["mint t", "sing t -"]))
+        self.assertEqual([ViolationKind.MALFORMED] * 2, faults(["mint t", "sing t -"]))
--- a/rhubarbhinge/query/_core.py
+++ b/rhubarbhinge/query/_core.py
@@ -1,86 +1,86 @@
-"""Carries queries out: fans out, hedges, retries, merges, and answers in time."""
+"""The query core: fan-out, hedging, retries, merging and deadlines of all queries."""
 
 import random
 from collections.abc import Iterable
 
-from rhubarbhinge.query._answering import take_ending
-from rhubarbhinge.query._beginning import begin
-from rhubarbhinge.query._call import Call
 from rhubarbhinge.query._catalog import Catalog
+from rhubarbhinge.query._completion import cancel_and_remove, finish, finish_if_decided
 from rhubarbhinge.query._effects import Answer, Effect, Shortfall
-from rhubarbhinge.query._ending import end, finish, settle
-from rhubarbhinge.query._hedging import hedge, schedule
+from rhubarbhinge.query._hedging import hedge, schedule_next_check
+from rhubarbhinge.query._planning import plan_and_send
 from rhubarbhinge.query._policy import QueryPolicy
-from rhubarbhinge.query._querystate import IsExpected, QueryState, RelayOf
-from rhubarbhinge.query._resending import lose_relay, resend_waiting
-from rhubarbhinge.query._searchrequest import SearchRequest
+from rhubarbhinge.query._query import Query
+from rhubarbhinge.query._retrying import resend_lost, resend_waiting
+from rhubarbhinge.query._search_request import SearchRequest
+from rhubarbhinge.query._shared_query_state import FindRelay, IsRelayExpected, SharedQueryState
+from rhubarbhinge.query._sub_replies import handle_outcome
 from rhubarbhinge.wire import ReplyBatch, UpstreamReport, UpstreamState
 
 _STATES = {int(state): state for state in UpstreamState}
 
 
-def _never(upstream_id: int) -> bool:
+def _no_relay_expected(upstream_id: int) -> bool:
     return False
 
 
 class QueryCore:
-    """All queries of one entry.
+    """All queries of one entry, without I/O: methods return the effects to carry out.
 
     :param policy: constants and switches.
-    :param catalog: what the searchers announce; the daemon feeds it.
-    :param relay_of: gives the relay that owns a searcher, None when there is none to send to.
+    :param catalog: the searchers' announcements; the daemon updates it.
+    :param relay_of: returns the relay that owns a searcher, or None when no relay is reachable.
     :param rng: source of random choices.
-    :param is_expected: tells whether a searcher without a relay will have one again soon, so that
-        a part may wait for it.
+    :param is_expected: returns whether a searcher without a relay is expected to have one again
+        soon, so that a part may wait for it.
     """
 
     def __init__(
         self,
         policy: QueryPolicy,
         catalog: Catalog,
-        relay_of: RelayOf,
+        relay_of: FindRelay,
         rng: random.Random,
-        is_expected: IsExpected = _never,
+        is_expected: IsRelayExpected = _no_relay_expected,
     ) -> None:
-        self._state = QueryState(policy, catalog, relay_of, rng, is_expected)
+        self._state = SharedQueryState(policy, catalog, relay_of, rng, is_expected)
         self._sequence = 0
 
     def in_flight(self) -> int:
-        """Give the number of open queries.
+        """Return the number of open queries.
 
         :returns: the number.
         """
-        return len(self._state.open.calls)
+        return len(self._state.open.queries)
 
     def next_due_ms(self) -> float | None:
-        """Give the time of the next tick that has something to do.
+        """Return the time at which the next tick is due.
 
-        :returns: milliseconds on the caller's clock, None when there is nothing.
+        :returns: milliseconds on the caller's clock, or None when nothing is scheduled.
         """
         return self._state.open.next_due_ms()
 
     def start(self, request: SearchRequest, now_ms: float) -> list[Effect]:
-        """Begin a query.
+        """Start a query.
 
-        :param request: the search, admitted.
-        :param now_ms: the time.
-        :returns: sub-queries to send, or the answer when nothing can be asked.
+        :param request: the admitted search.
+        :param now_ms: current time in ms.
+        :returns: sub-queries to send, or the answer when no searcher can be asked.
         """
         self._sequence += 1
-        call = Call(self._sequence, request, now_ms)
-        self._state.open.add(call)
-        effects = begin(self._state, call, now_ms)
-        if self._state.open.is_open(call):
-            schedule(self._state, call, now_ms)
+        query = Query(self._sequence, request, now_ms)
+        self._state.open.add(query)
+        effects = plan_and_send(self._state, query, now_ms)
+        if self._state.open.is_open(query):
+            schedule_next_check(self._state, query, now_ms)
         return effects + self._flush(now_ms)
 
     def on_reply(self, relay: str, batch: ReplyBatch, now_ms: float) -> list[Effect]:
-        """Take answers of a relay.
+        """Handle a relay's replies to sub-queries.
 
-        :param relay: the relay's node name, as its link says.
-        :param batch: the answers.
-        :param now_ms: the time.
-        :returns: what follows.
+        :param relay: the relay's node name, from its link.
+        :param batch: the replies; those that match no outstanding attempt are ignored.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         state = self._state
         effects: list[Effect] = []
@@ -94,8 +94,8 @@
             strict=True,
         )
         for call_id, number, attempt_number, outcome, wait_ms, body in rows:
-            call = state.open.calls.get(call_id)
-            part = call.parts.get(number) if call else None
+            query = state.open.queries.get(call_id)
+            part = query.parts.get(number) if query else None
             attempt = part.attempts.get(attempt_number) if part else None
             if attempt is None or attempt.target.name != relay:
                 continue
@@ -103,13 +103,13 @@
             state.scores.on_ended(attempt.upstream_id)
             if not part.done:
                 part.wait_ms = wait_ms
-                effects += take_ending(state, call, part, attempt, outcome, body, now_ms)
+                effects += handle_outcome(state, query, part, attempt, outcome, body, now_ms)
         return effects + self._flush(now_ms)
 
     def on_report(self, report: UpstreamReport) -> None:
-        """Take a relay's report of its searchers.
+        """Handle a relay's report on its searchers.
 
-        :param report: states and loads.
+        :param report: states and loads of the searchers.
         """
         rows = zip(
             report.upstream_ids,
@@ -123,51 +123,51 @@
             self._state.catalog.on_state(upstream_id, _STATES.get(state, UpstreamState.UNKNOWN))
             self._state.scores.on_report(upstream_id, queued, in_flight, slots)
 
-    def on_relay_gone(self, relay: str, now_ms: float) -> list[Effect]:
-        """A relay's link is lost: what it was sent is asked again elsewhere.
+    def on_relay_lost(self, relay: str, now_ms: float) -> list[Effect]:
+        """Handle the loss of a relay's link: resend its outstanding sub-queries elsewhere.
 
         :param relay: the relay's node name.
-        :param now_ms: the time.
-        :returns: what follows.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Effect] = []
-        for call in list(self._state.open.calls.values()):
-            for part in list(call.parts.values()):
-                effects += lose_relay(self._state, call, part, relay, now_ms)
+        for query in list(self._state.open.queries.values()):
+            for part in list(query.parts.values()):
+                effects += resend_lost(self._state, query, part, relay, now_ms)
         return effects + self._flush(now_ms)
 
     def abandon(self, request_id: int, now_ms: float) -> list[Effect]:
-        """The caller is gone: stop its query.
+        """Cancel the query of a caller that has disconnected.
 
         :param request_id: the caller's request.
-        :param now_ms: the time.
-        :returns: cancels.
+        :param now_ms: current time in ms.
+        :returns: cancellations to send.
         """
-        call = self._state.open.of_request(request_id)
-        if call is not None:
-            end(self._state, call, now_ms)
+        query = self._state.open.of_request(request_id)
+        if query is not None:
+            cancel_and_remove(self._state, query, now_ms)
         return self._flush(now_ms)
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Do what is due: hedges and deadlines.
+        """Process all queries that are due: hedges, retries and deadlines.
 
-        :param now_ms: the time.
-        :returns: what follows.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Effect] = []
-        while (call := self._state.open.pop_due(now_ms)) is not None:
-            effects += self._look(call, now_ms)
+        while (query := self._state.open.pop_due(now_ms)) is not None:
+            effects += self._process_due(query, now_ms)
         return effects + self._flush(now_ms)
 
-    def _look(self, call: Call, now_ms: float) -> list[Effect]:
+    def _process_due(self, query: Query, now_ms: float) -> list[Effect]:
         state = self._state
-        if now_ms >= call.deadline_ms - state.policy.answer_margin_ms:
-            return [finish(state, call, now_ms)]
-        answered = settle(state, call, now_ms) or resend_waiting(state, call, now_ms)
+        if now_ms >= query.deadline_ms - state.policy.answer_margin_ms:
+            return [finish(state, query, now_ms)]
+        answered = finish_if_decided(state, query, now_ms) or resend_waiting(state, query, now_ms)
         if answered:
             return answered
-        hedge(state, call, now_ms)
-        schedule(state, call, now_ms)
+        hedge(state, query, now_ms)
+        schedule_next_check(state, query, now_ms)
         return []
 
     def _flush(self, now_ms: float) -> list[Effect]:
@@ -175,9 +175,9 @@
 
 
 def all_answers(effects: Iterable[Effect]) -> list[Answer | Shortfall]:
-    """Pick the final outcomes out of effects.
+    """Return the final outcomes among effects.
 
-    :param effects: what the core asked for.
+    :param effects: effects returned by the core.
     :returns: answers and shortfalls.
     """
     return [effect for effect in effects if isinstance(effect, Answer | Shortfall)]
