--- a/rhubarbhinge/api/__init__.py
+++ b/rhubarbhinge/api/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: requests checked, answers rendered."""
+"""HTTP API for callers: validates request bodies and renders responses."""
 
 from rhubarbhinge.api._apierror import ApiError
 from rhubarbhinge.api._commands import RunCommand, SearchCommand
--- a/rhubarbhinge/api/_apierror.py
+++ b/rhubarbhinge/api/_apierror.py
@@ -1,18 +1,18 @@
-"""A request that cannot be served, as a value."""
+"""Error response to a request that cannot be served."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ApiError:
-    """A request that cannot be served.
+    """Error response to a request that cannot be served; returned, not raised.
 
     :param status: HTTP status code.
-    :param code: the error's code, for programs.
-    :param message: one sentence on what is wrong.
-    :param todo: what to do next.
-    :param not_run: whether it is known that nothing was run.
-    :param retry_after_ms: when to come back; None where coming back does not help.
+    :param code: machine-readable error code.
+    :param message: one-sentence description of the error.
+    :param todo: what the caller should do next.
+    :param not_run: True if the request is known not to have been executed.
+    :param retry_after_ms: delay before a retry; None if a retry does not help.
     """
 
     status: int
--- a/rhubarbhinge/api/_commands.py
+++ b/rhubarbhinge/api/_commands.py
@@ -1,4 +1,4 @@
-"""Callers' requests, checked."""
+"""Validated requests of callers."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchCommand:
-    """A search, checked against the register and rules in force.
+    """A search request, validated against the current register and rules.
 
-    :param collection: the collection.
+    :param collection: name of the collection to search.
     :param text: the search text.
-    :param limit: most hits wanted.
-    :param traffic_class: the class whose policy holds.
-    :param deadline_ms: time allowed.
+    :param limit: maximum number of hits to return.
+    :param traffic_class: traffic class whose policy applies to the search.
+    :param deadline_ms: time limit for the search.
     """
 
     collection: str
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunCommand:
-    """A request to run an action.
+    """A validated request to run an action.
 
     :param action: the action's name.
-    :param body: the whole request body, bytes as they came.
+    :param body: the complete request body, unmodified.
     """
 
     action: str
--- a/rhubarbhinge/api/_rawfield.py
+++ b/rhubarbhinge/api/_rawfield.py
@@ -1,31 +1,31 @@
-"""Take a field's text out of a JSON object as it came."""
+"""Extraction of a field's unmodified source text from a JSON object."""
 
 import json
 import re
 
-# Numbers stay text: nothing is converted, and no number is too long.
+# Numbers are kept as text, so that they lose no precision and long integers don't raise an error.
 _DECODER = json.JSONDecoder(parse_float=str, parse_int=str)
-_BETWEEN = re.compile(r"[ \t\n\r,:]*")
+_SEPARATORS = re.compile(r"[ \t\n\r,:]*")
 
 
 def raw_field(text: str, name: str) -> str | None:
-    """Find the text of a field's value, so that numbers keep all their digits.
+    """Return the source text of a field's value, in which numbers keep all their digits.
 
-    :param text: a JSON object that was checked to be one, its nesting bounded.
-    :param name: the field.
-    :returns: the last value of that name, None when there is none.
+    :param text: text already validated to be a JSON object of limited nesting depth.
+    :param name: name of the field.
+    :returns: the text of the last value under that name, None if there is none.
     """
-    found = None
-    at = _skip(text, text.index("{") + 1)
-    while text[at] != "}":
-        key, at = _DECODER.raw_decode(text, at)
-        start = _skip(text, at)
-        _, at = _DECODER.raw_decode(text, start)
+    value_text = None
+    position = _skip_separators(text, text.index("{") + 1)
+    while text[position] != "}":
+        key, position = _DECODER.raw_decode(text, position)
+        start = _skip_separators(text, position)
+        _, position = _DECODER.raw_decode(text, start)
         if key == name:
-            found = text[start:at]
-        at = _skip(text, at)
-    return found
+            value_text = text[start:position]
+        position = _skip_separators(text, position)
+    return value_text
 
 
-def _skip(text: str, at: int) -> int:
-    return _BETWEEN.match(text, at).end()
+def _skip_separators(text: str, position: int) -> int:
+    return _SEPARATORS.match(text, position).end()
--- a/rhubarbhinge/api/_render.py
+++ b/rhubarbhinge/api/_render.py
@@ -1,4 +1,4 @@
-"""Answers as HTTP responses."""
+"""Rendering of results and errors as HTTP responses."""
 
 import math
 
@@ -9,53 +9,60 @@
 from rhubarbhinge.query import Answer, Missing, Shortfall
 from rhubarbhinge.web import Response
 
-_STATUS = {OutcomeKind.RAN: 200, OutcomeKind.REFUSED_NOT_RUN: 503, OutcomeKind.UNKNOWN: 504}
+_STATUS_BY_OUTCOME = {
+    OutcomeKind.RAN: 200,
+    OutcomeKind.REFUSED_NOT_RUN: 503,
+    OutcomeKind.UNKNOWN: 504,
+}
 
-#: Fractions are rounded down to a millionth.
-_FRACTION_STEPS = 1_000_000
+#: Coverage fractions are rounded down to multiples of 1 / _FRACTION_SCALE.
+_FRACTION_SCALE = 1_000_000
 
 
-def error(fault: ApiError) -> Response:
+def error(api_error: ApiError) -> Response:
     """Render an error.
 
-    :param fault: what is wrong.
-    :returns: the response.
+    :param api_error: the error.
+    :returns: the HTTP response.
     """
     body = {
-        "code": fault.code,
-        "message": fault.message,
-        "todo": fault.todo,
-        "not_run": fault.not_run,
+        "code": api_error.code,
+        "message": api_error.message,
+        "todo": api_error.todo,
+        "not_run": api_error.not_run,
     }
-    if fault.retry_after_ms is not None:
-        body["retry_after_ms"] = fault.retry_after_ms
+    if api_error.retry_after_ms is not None:
+        body["retry_after_ms"] = api_error.retry_after_ms
     return Response(
-        fault.status, orjson.dumps({"error": body}), headers=_retry_after(fault.retry_after_ms)
+        api_error.status,
+        orjson.dumps({"error": body}),
+        headers=_retry_after_header(api_error.retry_after_ms),
     )
 
 
-def answer(found: Answer, revisions: dict[str, int]) -> Response:
-    """Render a search's answer.
+def answer(result: Answer, revisions: dict[str, int]) -> Response:
+    """Render the answer to a search.
 
-    :param found: the answer.
-    :param revisions: revisions in force, by key.
-    :returns: the response.
+    :param result: the answer.
+    :param revisions: current configuration revisions, by key.
+    :returns: the HTTP response.
     """
     document = {
-        "snapshot": {"collection": found.collection, "version": found.version},
-        "coverage": _coverage(found),
-        "hits": found.hits,
-        "took_ms": round(found.stats.took_ms, 1),
+        "snapshot": {"collection": result.collection, "version": result.version},
+        "coverage": _coverage_document(result),
+        "hits": result.hits,
+        "took_ms": round(result.stats.took_ms, 1),
         "revisions": revisions,
     }
     return Response(200, orjson.dumps(document))
 
 
-def shortfall(found: Shortfall) -> Response:
-    """Render a search that reached too few records for its class.
+def shortfall(search_shortfall: Shortfall) -> Response:
+    """Render a search whose coverage is below the minimum of its traffic class.
 
-    :param found: what there is.
-    :returns: the response; it has no hits, so that nobody takes them for the whole.
+    :param search_shortfall: the shortfall, with the partial answer.
+    :returns: the HTTP response; it omits the hits, so that no caller takes them for a complete
+        result.
     """
     document = {
         "error": {
@@ -63,58 +70,63 @@
             "message": "Too few of the records could be searched in time for this class.",
             "todo": "Ask again after the given time.",
             "not_run": False,
-            "retry_after_ms": round(found.retry_after_ms),
-            "least_coverage": found.least_coverage,
+            "retry_after_ms": round(search_shortfall.retry_after_ms),
+            "least_coverage": search_shortfall.least_coverage,
         },
-        "snapshot": {"collection": found.answer.collection, "version": found.answer.version},
-        "coverage": _coverage(found.answer),
+        "snapshot": {
+            "collection": search_shortfall.answer.collection,
+            "version": search_shortfall.answer.version,
+        },
+        "coverage": _coverage_document(search_shortfall.answer),
     }
-    return Response(503, orjson.dumps(document), headers=_retry_after(found.retry_after_ms))
+    return Response(
+        503, orjson.dumps(document), headers=_retry_after_header(search_shortfall.retry_after_ms)
+    )
 
 
-def outcome(found: Outcome, ticket: str) -> Response:
-    """Render what came of a run.
+def outcome(run_outcome: Outcome, ticket: str) -> Response:
+    """Render the outcome of a run.
 
-    :param found: one of the three outcomes.
-    :param ticket: the ticket's text, empty when there is none.
-    :returns: the response.
+    :param run_outcome: the outcome.
+    :param ticket: the text of the ticket, empty if there is none.
+    :returns: the HTTP response.
     """
     document = {
-        "outcome": found.kind.value,
-        "code": found.code,
-        "message": found.message,
-        "todo": found.todo,
+        "outcome": run_outcome.kind.value,
+        "code": run_outcome.code,
+        "message": run_outcome.message,
+        "todo": run_outcome.todo,
         "ticket": ticket,
     }
-    if found.retry_after_ms:
-        document["retry_after_ms"] = found.retry_after_ms
-    if found.kind is OutcomeKind.RAN:
-        document["result"] = orjson.Fragment(found.result or b"null")
-    headers = _retry_after(found.retry_after_ms or None)
-    return Response(_STATUS[found.kind], orjson.dumps(document), headers=headers)
+    if run_outcome.retry_after_ms:
+        document["retry_after_ms"] = run_outcome.retry_after_ms
+    if run_outcome.kind is OutcomeKind.RAN:
+        document["result"] = orjson.Fragment(run_outcome.result or b"null")
+    headers = _retry_after_header(run_outcome.retry_after_ms or None)
+    return Response(_STATUS_BY_OUTCOME[run_outcome.kind], orjson.dumps(document), headers=headers)
 
 
 def redirect(ticket: str, expires_in_ms: int) -> Response:
-    """Render a fresh ticket: nothing has run yet.
+    """Render the redirect to a newly minted ticket, whose action has not started yet.
 
-    :param ticket: the ticket's text.
-    :param expires_in_ms: rest of its lifetime; 0 when it is another entry's.
-    :returns: a 307, which stock clients follow with their body.
+    :param ticket: the text of the ticket.
+    :param expires_in_ms: remaining lifetime of the ticket; 0 if another entry owns it.
+    :returns: a 307 response, on which standard HTTP clients resend the request body.
     """
     document = {"ticket": ticket, "outcome": "not_started", "expires_in_ms": expires_in_ms}
     return Response(307, orjson.dumps(document), headers=(("Location", f"/v1/run/{ticket}"),))
 
 
-def _coverage(found: Answer) -> dict:
+def _coverage_document(result: Answer) -> dict:
     return {
-        "fraction": _fraction(found),
-        "records": found.covered_records,
-        "total_records": found.total_records,
-        "missing": [_missing(missing) for missing in found.missing],
+        "fraction": _rounded_fraction(result),
+        "records": result.covered_records,
+        "total_records": result.total_records,
+        "missing": [_missing_document(missing) for missing in result.missing],
     }
 
 
-def _missing(missing: Missing) -> dict:
+def _missing_document(missing: Missing) -> dict:
     return {
         "lo": missing.lo,
         "hi": missing.hi,
@@ -123,14 +135,14 @@
     }
 
 
-def _fraction(found: Answer) -> float:
-    if found.total_records == 0:
-        return found.coverage
-    # Whole numbers, for a float's quotient may already be rounded up.
-    return found.covered_records * _FRACTION_STEPS // found.total_records / _FRACTION_STEPS
+def _rounded_fraction(result: Answer) -> float:
+    if result.total_records == 0:
+        return result.coverage
+    # Uses integer division, because a float quotient may already be rounded up.
+    return result.covered_records * _FRACTION_SCALE // result.total_records / _FRACTION_SCALE
 
 
-def _retry_after(retry_after_ms: float | None) -> tuple[tuple[str, str], ...]:
+def _retry_after_header(retry_after_ms: float | None) -> tuple[tuple[str, str], ...]:
     if retry_after_ms is None:
         return ()
     return (("Retry-After", str(max(1, math.ceil(retry_after_ms / 1000)))),)
--- a/rhubarbhinge/api/tests/test_api.py
+++ b/rhubarbhinge/api/tests/test_api.py
@@ -1,4 +1,4 @@
-"""Callers' bodies, from anyone, and the answers to them."""
+"""Tests for parsing untrusted request bodies and rendering the responses."""
 
 import unittest
 from decimal import Decimal
@@ -14,8 +14,8 @@
 from rhubarbhinge.register import parse_register, parse_rules
 from rhubarbhinge.register.tests.documents import rules
 
-KEYS = 65_536
-UP = {"name": "up", "system": "s", "instance": "vm", "failure_domain": "a", "ip": "127.0.0.1"}
+KEY_SPACE_END = 65_536
+UPSTREAM = {"name": "up", "system": "s", "instance": "vm", "failure_domain": "a", "ip": "127.0.0.1"}
 REGISTER = parse_register(
     orjson.dumps(
         {
@@ -23,7 +23,7 @@
             "tenant": "kingston",
             "failure_domains": ["a"],
             "systems": [{"name": "s", "slots": 2, "connections": 25, "connect_ms": 6}],
-            "upstreams": [UP | {"port": 9001, "leaving": False}],
+            "upstreams": [UPSTREAM | {"port": 9001, "leaving": False}],
             "plants": [],
             "suppliers": [],
             "collections": [
@@ -31,7 +31,7 @@
                     "name": "collection-0",
                     "system": "s",
                     "about": [],
-                    "shards": [{"lo": 0, "hi": KEYS, "upstreams": ["up"]}],
+                    "shards": [{"lo": 0, "hi": KEY_SPACE_END, "upstreams": ["up"]}],
                 }
             ],
             "actions": [{"name": "order", "system": "s", "upstreams": ["up"]}],
@@ -41,17 +41,17 @@
 RULES = parse_rules(orjson.dumps(rules())).value
 SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=300)
 
-ODD = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**63), 2**64 - 1) | st.floats() | st.text(),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner, max_size=3),
     max_leaves=6,
 )
-FIELDS = ("collection", "text", "limit", "class", "deadline_ms", "action", "body", "other")
-GOOD = {"collection": "collection-0", "text": "x", "action": "order", "body": {}}
-NEAR = st.dictionaries(st.sampled_from(FIELDS), ODD, max_size=3).map(
-    lambda changed: orjson.dumps(GOOD | changed)
+FIELD_NAMES = ("collection", "text", "limit", "class", "deadline_ms", "action", "body", "other")
+VALID_FIELDS = {"collection": "collection-0", "text": "x", "action": "order", "body": {}}
+ALTERED_BODIES = st.dictionaries(st.sampled_from(FIELD_NAMES), JSON_VALUES, max_size=3).map(
+    lambda changed: orjson.dumps(VALID_FIELDS | changed)
 )
-BODIES = st.binary(max_size=80) | ODD.map(orjson.dumps) | NEAR
+BODIES = st.binary(max_size=80) | JSON_VALUES.map(orjson.dumps) | ALTERED_BODIES
 
 
 def search(**fields):
@@ -63,10 +63,10 @@
     return Answer(1, "collection-0", 4, ({"id": "a", "score": 1},), covered, total, missing, stats)
 
 
-class BodyTest(unittest.TestCase):
+class RequestBodyTest(unittest.TestCase):
     @SETTINGS
     @given(BODIES)
-    def test_no_body_raises_and_every_fault_is_coded(self, body):
+    def test_no_body_raises_and_every_error_has_a_code(self, body):
         found = [api.parse_search(body, REGISTER, RULES), api.parse_run(body, REGISTER)]
         for each in found:
             if isinstance(each, api.ApiError):
@@ -78,7 +78,7 @@
             fields = orjson.loads(api.run_fields(body))
             self.assertEqual(orjson.loads(body)["body"], fields)
 
-    def test_a_search_gets_its_class_and_never_more_than_its_deadline(self):
+    def test_search_uses_its_class_and_deadline_is_capped_by_it(self):
         for fields, name, deadline_ms in (
             ({}, "urgent", 230.0),
             ({"class": "audit", "deadline_ms": 9_999}, "audit", 230.0),
@@ -89,8 +89,8 @@
                 seen = (found.traffic_class.name, found.deadline_ms, found.limit)
                 self.assertEqual((name, deadline_ms, 10), seen)
 
-    def test_faults(self):
-        good = {"collection": "collection-0", "text": "x"}
+    def test_invalid_search_fields_are_rejected(self):
+        valid_fields = {"collection": "collection-0", "text": "x"}
         for changed, status in (
             ({"collection": "no"}, 404),
             ({"collection": 1}, 400),
@@ -105,16 +105,16 @@
             ({"other": 1}, 400),
         ):
             with self.subTest(changed):
-                self.assertEqual(status, search(**good | changed).status)
+                self.assertEqual(status, search(**valid_fields | changed).status)
 
-    def test_a_runs_fields_arrive_as_they_were_sent(self):
+    def test_run_fields_are_extracted_byte_for_byte(self):
         amount = b"123456789012345678901234567890.10"
         fields = b'{"amount": ' + amount + b', "note": "a\\u00e9 \\"body\\": {}"}'
         body = b' { "x": {"body": {"no": 1}}, "body" :\n' + fields + b' , "action":"order"}'
         self.assertIsInstance(api.parse_run(body, REGISTER), api.RunCommand)
         self.assertEqual(fields, api.run_fields(body))
 
-    def test_a_body_nested_too_deep_is_refused(self):
+    def test_body_nested_too_deeply_is_rejected(self):
         for depth in (300, 1_000, 5_000):
             with self.subTest(depth):
                 deep = b"[" * depth + b"]" * depth
@@ -125,32 +125,35 @@
 class RenderTest(unittest.TestCase):
     @SETTINGS
     @given(st.integers(1, 2**64 - 1), st.data())
-    def test_the_fraction_is_never_rounded_up(self, total, data):
+    def test_coverage_fraction_is_never_rounded_up(self, total, data):
         covered = data.draw(st.integers(0, total) | st.integers(max(0, total - 3), total))
-        gap = Missing(9, KEYS, total - covered, "deadline")
-        missing = (gap,) if covered < total else ()
+        missing_range = Missing(9, KEY_SPACE_END, total - covered, "deadline")
+        missing = (missing_range,) if covered < total else ()
         found = answer(covered, total, missing)
         for response in (api.answer(found, {}), api.shortfall(Shortfall(found, 1.0, 9.0))):
             coverage = orjson.loads(response.body)["coverage"]
-            stated, share = Fraction(Decimal(str(coverage["fraction"]))), Fraction(covered, total)
-            self.assertLessEqual(stated, share)
-            self.assertLess(share - stated, Fraction(1, 10**6))
+            stated, exact = Fraction(Decimal(str(coverage["fraction"]))), Fraction(covered, total)
+            self.assertLessEqual(stated, exact)
+            self.assertLess(exact - stated, Fraction(1, 10**6))
             self.assertEqual((covered, total), (coverage["records"], coverage["total_records"]))
             self.assertEqual(len(missing), len(coverage["missing"]))
 
-    def test_a_collection_without_records_is_covered_unless_ranges_are_missing(self):
-        for missing, fraction in (((), 1.0), ((Missing(0, KEYS, None, "no-replica"),), 0.0)):
+    def test_empty_collection_is_covered_unless_ranges_are_missing(self):
+        for missing, fraction in (
+            ((), 1.0),
+            ((Missing(0, KEY_SPACE_END, None, "no-replica"),), 0.0),
+        ):
             body = orjson.loads(api.answer(answer(0, 0, missing), {}).body)
             self.assertEqual(fraction, body["coverage"]["fraction"])
 
-    def test_a_shortfall_has_no_hits_and_says_when_to_come_back(self):
+    def test_shortfall_omits_hits_and_sets_retry_after(self):
         response = api.shortfall(Shortfall(answer(1, 2), 0.9, 1_500.0))
         document = orjson.loads(response.body)
         self.assertEqual((503, "2"), (response.status, dict(response.headers)["Retry-After"]))
         self.assertNotIn("hits", document)
         self.assertEqual("coverage-too-low", document["error"]["code"])
 
-    def test_each_outcome_has_its_status_and_only_a_run_has_a_result(self):
+    def test_outcome_sets_status_and_only_a_run_has_a_result(self):
         for kind, status in (
             (OutcomeKind.RAN, 200),
             (OutcomeKind.REFUSED_NOT_RUN, 503),
@@ -165,7 +168,7 @@
                 self.assertEqual(kind is OutcomeKind.RAN, "result" in document)
                 self.assertEqual("1", dict(response.headers)["Retry-After"])
 
-    def test_a_redirect_is_followed_with_the_body(self):
+    def test_redirect_is_307_to_the_ticket(self):
         response = api.redirect("t", 900)
         self.assertEqual((307, "/v1/run/t"), (response.status, dict(response.headers)["Location"]))
 
