--- a/rhubarbhinge/history/__init__.py
+++ b/rhubarbhinge/history/__init__.py
@@ -1,30 +1,31 @@
-"""Checks recorded histories of concurrent runs, after the fact.
+"""Offline checkers for recorded histories of concurrent runs.
 
-A history is a sequence of events in the order of their time; an event is a mapping with ``event``,
-``at_ms`` (one monotonic clock for all processes of a test) and the fields named here:
+A history is a sequence of events sorted by time. An event is a mapping with ``event``, ``at_ms``
+(from one monotonic clock shared by all processes of a test) and the fields listed here:
 
 ===============  ================================================================================
 ``asked``        a caller sent ``request`` to ``node``
-``answered``     a caller got an answer to ``request``: ``status``, ``body`` (JSON) and ``whole``
-``served``       a searcher's answer for ``request`` came back to the entry: ``collection``,
+``answered``     a caller received an answer to ``request``: ``status``, ``body`` (JSON) and
+                 ``whole``, false if it was truncated
+``served``       the entry received a searcher's answer for ``request``: ``collection``,
                  ``version``, ``lo`` and ``hi``
-``search``       a searcher, ``searcher``, took a search; ``arrived_ms``
+``search``       a searcher, ``searcher``, accepted a search; ``arrived_ms``
 ``mint``         an entry minted ``ticket``
-``bind``         a caller was shown ``ticket`` for its idempotency ``key``
+``bind``         a caller was given ``ticket`` for its idempotency ``key``
 ``send``         an entry sent ``ticket`` to a relay
 ``run``          a searcher, ``searcher``, ran ``ticket``; ``arrived_ms``
-``refuse``       a searcher, ``searcher``, refused work, with a ``code``
-``drain``        a searcher, ``searcher``, began to leave, by any signal
-``drain-undone`` it takes work again
-``ready``        a node's life, ``node`` and ``incarnation``, is ready
-``adopt``        the life put ``revision`` of ``key`` in force
-``stop``         the life was told to stop
-``end``          the life ended
-``publish``      an acceptable ``revision`` of ``key`` was published
+``refuse``       a searcher, ``searcher``, refused a request, with a ``code``
+``drain``        a searcher, ``searcher``, started draining, on any signal
+``drain-undone`` the searcher accepts requests again
+``ready``        a node incarnation, ``node`` and ``incarnation``, became ready
+``adopt``        the incarnation adopted ``revision`` of configuration ``key``
+``stop``         the incarnation was told to stop
+``end``          the incarnation ended
+``publish``      a valid ``revision`` of configuration ``key`` was published
 ===============  ================================================================================
 
-Every checker returns what it found, nothing when the promise held. What a record or a hit is, the
-checkers are told by functions, so that they do not trust the code under test.
+Every checker returns a list of violations, empty if the guarantee held. Callers pass functions that
+interpret records and hits, so that the checkers don't rely on the code under test.
 """
 
 from rhubarbhinge.history._answers import own_answer
--- a/rhubarbhinge/history/_configuration.py
+++ b/rhubarbhinge/history/_configuration.py
@@ -1,57 +1,61 @@
-"""Configuration: in force everywhere within a bound, and never lower again."""
+"""Checks that configuration is adopted within a time bound and that revisions never decrease."""
 
 from collections.abc import Iterable
 
-from rhubarbhinge.history._event import Event, named
+from rhubarbhinge.history._event import Event, select_events
 from rhubarbhinge.history._violation import Violation
 
-_Life = tuple[str, int]
-_FOREVER_MS = float("inf")
+_Incarnation = tuple[str, int]
+_NEVER_ENDED_MS = float("inf")
 
 
 def monotonic_config(events: Iterable[Event], bound_ms: float) -> list[Violation]:
-    """Check the revisions in force, over the lives of all nodes.
+    """Check the revisions adopted by every node incarnation.
 
-    :param events: the history, in the order of time; ``end`` also stands for a kill or a freeze.
-    :param bound_ms: how long a publication may take to be in force; a life that gets ready later
-        has to have it from then on.
-    :returns: revisions that fell, and lives without a published revision when it was due.
+    :param events: the history, sorted by time; ``end`` also represents a kill or a freeze.
+    :param bound_ms: maximum delay from publication to adoption; an incarnation that becomes ready
+        after that must have adopted the revision by the time it is ready.
+    :returns: violations for revisions that decreased and for revisions adopted late or never.
     """
     events = list(events)
-    return _falls(events) + _late(events, bound_ms)
+    return _decreased_revisions(events) + _late_adoptions(events, bound_ms)
 
 
-def _falls(events: list[Event]) -> list[Violation]:
-    highest: dict[tuple[_Life, str], int] = {}
-    found = []
-    for event in named(events, "adopt"):
-        life, revision = _life(event), event["revision"]
-        before = highest.get((life, event["key"]), 0)
-        if revision < before:
-            found.append(Violation("revision-fell", str(life), f"{before} to {revision}"))
-        highest[life, event["key"]] = max(before, revision)
-    return found
+def _decreased_revisions(events: list[Event]) -> list[Violation]:
+    highest_revisions: dict[tuple[_Incarnation, str], int] = {}
+    violations = []
+    for event in select_events(events, "adopt"):
+        incarnation, revision = _incarnation(event), event["revision"]
+        highest_before = highest_revisions.get((incarnation, event["key"]), 0)
+        if revision < highest_before:
+            violations.append(
+                Violation("revision-fell", str(incarnation), f"{highest_before} to {revision}")
+            )
+        highest_revisions[incarnation, event["key"]] = max(highest_before, revision)
+    return violations
 
 
-def _late(events: list[Event], bound_ms: float) -> list[Violation]:
-    ended_ms = {_life(event): event["at_ms"] for event in named(events, "end")}
-    adopted = list(named(events, "adopt"))
+def _late_adoptions(events: list[Event], bound_ms: float) -> list[Violation]:
+    ended_ms = {_incarnation(event): event["at_ms"] for event in select_events(events, "end")}
+    adopted = list(select_events(events, "adopt"))
     last_ms = events[-1]["at_ms"] if events else 0.0
-    found = []
-    for ready in named(events, "ready"):
-        life = _life(ready)
-        end_ms = min(last_ms, ended_ms.get(life, _FOREVER_MS))
-        for published in named(events, "publish"):
+    violations = []
+    for ready in select_events(events, "ready"):
+        incarnation = _incarnation(ready)
+        end_ms = min(last_ms, ended_ms.get(incarnation, _NEVER_ENDED_MS))
+        for published in select_events(events, "publish"):
             due_ms = max(published["at_ms"] + bound_ms, ready["at_ms"])
-            if due_ms < end_ms and not _has(adopted, life, published, due_ms):
+            if due_ms < end_ms and not _is_adopted(adopted, incarnation, published, due_ms):
                 detail = f"{published['key']} {published['revision']}"
-                found.append(Violation("revision-late", str(life), detail))
-    return found
+                violations.append(Violation("revision-late", str(incarnation), detail))
+    return violations
 
 
-def _has(adopted: list[Event], life: _Life, published: Event, due_ms: float) -> bool:
+def _is_adopted(
+    adopted: list[Event], incarnation: _Incarnation, published: Event, due_ms: float
+) -> bool:
     return any(
-        _life(event) == life
+        _incarnation(event) == incarnation
         and event["key"] == published["key"]
         and event["revision"] >= published["revision"]
         and event["at_ms"] <= due_ms
@@ -59,5 +63,5 @@
     )
 
 
-def _life(event: Event) -> _Life:
+def _incarnation(event: Event) -> _Incarnation:
     return event["node"], event["incarnation"]
--- a/rhubarbhinge/history/_stop.py
+++ b/rhubarbhinge/history/_stop.py
@@ -1,26 +1,29 @@
-"""Graceful stop: nothing that was in flight is cut."""
+"""Checks that a graceful stop completes all requests in flight."""
 
 from collections.abc import Iterable
 
-from rhubarbhinge.history._event import Event, named
+from rhubarbhinge.history._event import Event, select_events
 from rhubarbhinge.history._violation import Violation
 
-_NEVER_MS = float("-inf")
+_NOT_STOPPED_MS = float("-inf")
 
 
 def no_cut(events: Iterable[Event]) -> list[Violation]:
-    """Check that a node that was told to stop answered all that it had been asked before.
+    """Check that stopped nodes answered all requests that they received before the stop.
 
-    :param events: the history, in the order of time.
-    :returns: requests asked before a stop and not answered whole, and nodes that did not end.
+    :param events: the history, sorted by time.
+    :returns: violations for requests sent before a stop and not answered completely, and for nodes
+        that did not end.
     """
     events = list(events)
-    stopped_ms = {event["node"]: event["at_ms"] for event in named(events, "stop")}
-    ended = {event["node"] for event in named(events, "end")}
-    whole = {event["request"] for event in named(events, "answered") if event["whole"]}
-    found = []
-    for event in named(events, "asked"):
-        before_stop = event["at_ms"] <= stopped_ms.get(event["node"], _NEVER_MS)
-        if before_stop and event["request"] not in whole:
-            found.append(Violation("cut-at-stop", str(event["request"]), event["node"]))
-    return found + [Violation("did-not-end", node) for node in stopped_ms if node not in ended]
+    stopped_ms = {event["node"]: event["at_ms"] for event in select_events(events, "stop")}
+    ended = {event["node"] for event in select_events(events, "end")}
+    fully_answered = {
+        event["request"] for event in select_events(events, "answered") if event["whole"]
+    }
+    violations = []
+    for event in select_events(events, "asked"):
+        before_stop = event["at_ms"] <= stopped_ms.get(event["node"], _NOT_STOPPED_MS)
+        if before_stop and event["request"] not in fully_answered:
+            violations.append(Violation("cut-at-stop", str(event["request"]), event["node"]))
+    return violations + [Violation("did-not-end", node) for node in stopped_ms if node not in ended]
--- a/rhubarbhinge/history/_violation.py
+++ b/rhubarbhinge/history/_violation.py
@@ -1,15 +1,15 @@
-"""A broken promise in a history."""
+"""Violation of a guarantee, found in a history."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken promise in a history.
+    """Violation of a guarantee, found in a history.
 
-    :param rule: what was broken, a short code.
-    :param subject: the request, ticket, searcher or node that it shows on.
-    :param detail: what was seen.
+    :param rule: short code of the violated rule.
+    :param subject: the request, ticket, key, searcher or node that is affected.
+    :param detail: the observed values.
     """
 
     rule: str
