--- a/rhubarbhinge/history/__init__.py
+++ b/rhubarbhinge/history/__init__.py
@@ -35,7 +35,7 @@
 from rhubarbhinge.history._event import Event, read_events
 from rhubarbhinge.history._once import at_most_once
 from rhubarbhinge.history._snapshot import one_snapshot
-from rhubarbhinge.history._stop import no_cut
+from rhubarbhinge.history._stop import graceful_stop
 from rhubarbhinge.history._violation import Violation
 
 __all__ = [
@@ -44,8 +44,8 @@
     "at_most_once",
     "covered_ranges",
     "drain_bound",
+    "graceful_stop",
     "monotonic_config",
-    "no_cut",
     "one_snapshot",
     "own_answer",
     "read_events",
--- a/rhubarbhinge/history/_stop.py
+++ b/rhubarbhinge/history/_stop.py
@@ -8,7 +8,7 @@
 _NOT_STOPPED_MS = float("-inf")
 
 
-def no_cut(events: Iterable[Event]) -> list[Violation]:
+def graceful_stop(events: Iterable[Event]) -> list[Violation]:
     """Check that stopped nodes answered all requests that they received before the stop.
 
     :param events: the history, sorted by time.
--- a/rhubarbhinge/history/tests/test_checkers.py
+++ b/rhubarbhinge/history/tests/test_checkers.py
@@ -7,8 +7,8 @@
 from rhubarbhinge.history import (
     at_most_once,
     drain_bound,
+    graceful_stop,
     monotonic_config,
-    no_cut,
     one_snapshot,
     own_answer,
     read_events,
@@ -171,7 +171,7 @@
             with self.subTest(events):
                 self.assertRules(rules, drain_bound(events, 1_000.0))
 
-    def test_no_cut(self):
+    def test_graceful_stop(self):
         before = event("asked", 1.0, request=1, node="n")
         after = event("asked", 9.0, request=2, node="n")
         stop, end = event("stop", 5.0, node="n"), event("end", 20.0, node="n")
@@ -183,7 +183,7 @@
             ([before, answered(1)], []),
         ):
             with self.subTest(events):
-                self.assertRules(rules, no_cut(events))
+                self.assertRules(rules, graceful_stop(events))
 
     def test_monotonic_config(self):
         def incarnation_event(name, at_ms, incarnation=1, **fields):
--- a/standins/tests/test_live_leaving.py
+++ b/standins/tests/test_live_leaving.py
@@ -2,7 +2,7 @@
 
 import time
 
-from rhubarbhinge.history import drain_bound, no_cut
+from rhubarbhinge.history import drain_bound, graceful_stop
 from rhubarbhinge.once import OutcomeKind
 from standins.deployment import BY_DOMAIN, Size
 from standins.fleet import wait_until
@@ -135,7 +135,7 @@
             time.sleep(_UNDER_LOAD_S)
             stop = self._stop(vm, "entry")
         self.addCleanup(self.restart, vm, "entry")
-        self.assertEqual(no_cut([*self.callers.events, *stop]), [])
+        self.assertEqual(graceful_stop([*self.callers.events, *stop]), [])
         answers = [each for each in self.callers.answered() if each["node"] == node]
         self.assertGreater(len(answers), 0)
         for each in answers:
@@ -148,7 +148,7 @@
             stop = self._stop(vm, "relay")
             time.sleep(_UNDER_LOAD_S)
         self.addCleanup(self.restart, vm, "relay")
-        self.assertEqual(no_cut([*self.callers.events, *stop]), [])
+        self.assertEqual(graceful_stop([*self.callers.events, *stop]), [])
         self._check_searches()
 
     def test_relay_stopped_with_a_run_in_flight(self):
