--- a/rhubarbhinge/api/_parse.py
+++ b/rhubarbhinge/api/_parse.py
@@ -115,7 +115,7 @@
     return RunCommand(action, body)
 
 
-def run_fields(body: bytes) -> bytes:
+def action_fields(body: bytes) -> bytes:
     """Extract the action's fields from a validated run request, byte for byte.
 
     :param body: a request body that :func:`parse_run` accepted.
--- a/rhubarbhinge/api/tests/test_api.py
+++ b/rhubarbhinge/api/tests/test_api.py
@@ -75,7 +75,7 @@
                 self.assertTrue(document["code"] and document["message"] and document["todo"])
                 self.assertIs(True, document["not_run"])
         if isinstance(found[1], api.RunCommand):
-            fields = orjson.loads(api.run_fields(body))
+            fields = orjson.loads(api.action_fields(body))
             self.assertEqual(orjson.loads(body)["body"], fields)
 
     def test_search_uses_its_class_and_deadline_is_capped_by_it(self):
@@ -112,7 +112,7 @@
         fields = b'{"amount": ' + amount + b', "note": "a\\u00e9 \\"body\\": {}"}'
         body = b' { "x": {"body": {"no": 1}}, "body" :\n' + fields + b' , "action":"order"}'
         self.assertIsInstance(api.parse_run(body, REGISTER), api.RunCommand)
-        self.assertEqual(fields, api.run_fields(body))
+        self.assertEqual(fields, api.action_fields(body))
 
     def test_body_nested_too_deeply_is_rejected(self):
         for depth in (300, 1_000, 5_000):
--- a/rhubarbhinge/daemons/_relayruns.py
+++ b/rhubarbhinge/daemons/_relayruns.py
@@ -177,7 +177,7 @@
             relay.incarnation,
             run.ticket,
             run.action,
-            api.run_fields(run.body),
+            api.action_fields(run.body),
             relay_deadline_ms,
             number,
         )
