--- a/rhubarbhinge/history/_coverage.py
+++ b/rhubarbhinge/history/_coverage.py
@@ -7,9 +7,9 @@
 from rhubarbhinge.history._event import Event, select_events
 from rhubarbhinge.history._violation import Violation
 
-#: The key space of every collection (docs/architecture.md).
-FIRST_KEY = 0
-LAST_KEY = 65_536
+#: Key space of every collection; the end is exclusive (docs/architecture.md).
+_KEY_SPACE_START = 0
+_KEY_SPACE_END = 65_536
 #: Resolution to which answers round their coverage fractions down.
 _FRACTION_STEP = Fraction(1, 1_000_000)
 
@@ -56,15 +56,15 @@
         or exceed the key space.
     """
     covered = []
-    next_key = FIRST_KEY
+    next_key = _KEY_SPACE_START
     for missing_range in missing:
-        if not next_key <= missing_range["lo"] < missing_range["hi"] <= LAST_KEY:
+        if not next_key <= missing_range["lo"] < missing_range["hi"] <= _KEY_SPACE_END:
             return None
         if next_key < missing_range["lo"]:
             covered.append((next_key, missing_range["lo"]))
         next_key = missing_range["hi"]
-    if next_key < LAST_KEY:
-        covered.append((next_key, LAST_KEY))
+    if next_key < _KEY_SPACE_END:
+        covered.append((next_key, _KEY_SPACE_END))
     return covered
 
 
@@ -81,7 +81,7 @@
     if snapshot_id[1] == 0:
         return ["coverage-overstated"] if covered or coverage["records"] else []
     records = sum(count_records(*snapshot_id, lo, hi) for lo, hi in covered)
-    total = count_records(*snapshot_id, FIRST_KEY, LAST_KEY)
+    total = count_records(*snapshot_id, _KEY_SPACE_START, _KEY_SPACE_END)
     rules = []
     actual = Fraction(records, total) if total else Fraction(not missing)
     stated = Fraction(str(coverage["fraction"]))
