--- a/rhubarbhinge/api/tests/test_api.py
+++ b/rhubarbhinge/api/tests/test_api.py
@@ -107,7 +107,7 @@
             with self.subTest(changed):
                 self.assertEqual(status, search(**valid_fields | changed).status)
 
-    def test_run_fields_are_extracted_byte_for_byte(self):
+    def test_action_fields_are_extracted_byte_for_byte(self):
         amount = b"123456789012345678901234567890.10"
         fields = b'{"amount": ' + amount + b', "note": "a\\u00e9 \\"body\\": {}"}'
         body = b' { "x": {"body": {"no": 1}}, "body" :\n' + fields + b' , "action":"order"}'
--- a/rhubarbhinge/history/_stop.py
+++ b/rhubarbhinge/history/_stop.py
@@ -9,7 +9,7 @@
 
 
 def graceful_stop(events: Iterable[Event]) -> list[Violation]:
-    """Check that stopped nodes answered all requests that they received before the stop.
+    """Check that stopped nodes answered all requests sent to them before the stop.
 
     :param events: the history, sorted by time.
     :returns: violations for requests sent before a stop and not answered completely, and for nodes
