--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -25,7 +25,7 @@
 )
 from rhubarbhinge.gather import Gathered, GatherTerms, ScatterGather, TooFewShards
 from rhubarbhinge.members import Member
-from rhubarbhinge.peers import QuarantineNews
+from rhubarbhinge.peers import QuarantineGossip
 from rhubarbhinge.quarantine import ONE_FIRST, Quarantine, Quarantined
 
 FATAL = "f" * 32
@@ -128,10 +128,10 @@
         self.quarantine = Quarantine(
             self.timers.now_ms,
             lambda fingerprint: self.news.may_try(fingerprint),
-            lambda: self.news.tell(),
+            lambda: self.news.announce(),
             rng,
         )
-        self.news = QuarantineNews(
+        self.news = QuarantineGossip(
             self.timers, GossipMembers(simulation, name), self.quarantine, rng
         )
         self.timers.after(simulation.rng.uniform(0.0, HEARTBEAT_MS), self._send_heartbeat)
@@ -217,12 +217,12 @@
         """Send the findings of one entry to another, as a heartbeat does."""
         if self.rng.random() < self.datagram_loss:
             return
-        findings = self.entries[sender].news.carried()
+        findings = self.entries[sender].news.outgoing()
         delay_ms = self.rng.choice((0.5, 2.0, 2.0, 30.0))
 
         def arrive() -> None:
             other = self.entries[receiver]
-            other.timers.after(0.0, lambda: other.news.take(findings))
+            other.timers.after(0.0, lambda: other.news.receive(findings))
 
         self.timers.after(delay_ms, arrive)
 
--- a/rhubarbhinge/published/__init__.py
+++ b/rhubarbhinge/published/__init__.py
@@ -1,12 +1,12 @@
-"""What the platform publishes, followed by lists, watches and peers."""
+"""Replication of the state that the platform publishes, by lists, watches and peers."""
 
 from rhubarbhinge.published._change_log import ChangeLog
 from rhubarbhinge.published._changes import Changes
 from rhubarbhinge.published._evacuation import Evacuation
 from rhubarbhinge.published._follower import Follower
-from rhubarbhinge.published._read_fault import ReadFault
+from rhubarbhinge.published._read_failure import ReadFailure
 from rhubarbhinge.published._snapshot import Snapshot
-from rhubarbhinge.published._source import Source
+from rhubarbhinge.published._state_source import StateSource
 from rhubarbhinge.published._unusable_entries import UnusableEntries
 from rhubarbhinge.published._unusable_entry import UnusableEntry
 
@@ -15,9 +15,9 @@
     "Changes",
     "Evacuation",
     "Follower",
-    "ReadFault",
+    "ReadFailure",
     "Snapshot",
-    "Source",
+    "StateSource",
     "UnusableEntries",
     "UnusableEntry",
 ]
