--- a/rhubarbhinge/settings/_value_parsers.py
+++ b/rhubarbhinge/settings/_value_parsers.py
@@ -32,16 +32,16 @@
     :param maximum: Largest number accepted.
     :returns: The parser.
     """
-    read_number = fields.whole(minimum, maximum)
+    parse_number = fields.whole(minimum, maximum)
 
-    def read(log: FaultLog, place: str, text: str) -> int | None:
+    def parse(log: FaultLog, place: str, text: str) -> int | None:
         if not _DIGITS.fullmatch(text):
             message = f"{fields.shown(text)} isn't a whole number"
             log.add(place, "wrong-type", message, f"write a number from {minimum} to {maximum}")
             return None
-        return read_number(log, place, int(text))
+        return parse_number(log, place, int(text))
 
-    return read
+    return parse
 
 
 def choice(*choices: str) -> ValueParser:
@@ -51,14 +51,14 @@
     :returns: The parser.
     """
 
-    def read(log: FaultLog, place: str, text: str) -> str | None:
+    def parse(log: FaultLog, place: str, text: str) -> str | None:
         if text in choices:
             return text
         todo = "write " + " or ".join(choices)
         log.add(place, "unknown-choice", f"{fields.shown(text)} is unknown", todo)
         return None
 
-    return read
+    return parse
 
 
 def choices(*allowed: str) -> ValueParser:
@@ -68,7 +68,7 @@
     :returns: The parser.
     """
 
-    def read(log: FaultLog, place: str, text: str) -> tuple[str, ...] | None:
+    def parse(log: FaultLog, place: str, text: str) -> tuple[str, ...] | None:
         parts = [part.strip() for part in text.split(",")] if text.strip() else []
         invalid = [part for part in parts if part not in allowed]
         for part in invalid:
@@ -76,7 +76,7 @@
             log.add(place, "unknown-choice", f"{fields.shown(part)} is unknown", todo)
         return None if invalid else tuple(parts)
 
-    return read
+    return parse
 
 
 def addresses(minimum: int) -> ValueParser:
@@ -86,7 +86,7 @@
     :returns: The parser.
     """
 
-    def read(log: FaultLog, place: str, text: str) -> tuple[str, ...] | None:
+    def parse(log: FaultLog, place: str, text: str) -> tuple[str, ...] | None:
         parts = [part.strip() for part in text.split(",")] if text.strip() else []
         if not minimum <= len(parts) <= MAX_ADDRESSES:
             message = f"{len(parts)} addresses are given"
@@ -100,7 +100,7 @@
             log.add(place, "bad-address", message, todo)
         return None if invalid else tuple(parts)
 
-    return read
+    return parse
 
 
 def deployment_key(log: FaultLog, place: str, text: str) -> bytes | None:
--- a/rhubarbhinge/utils/bounded_types.py
+++ b/rhubarbhinge/utils/bounded_types.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 MAX_NAME_CHARS = 200
-"""Maximum length of the name of a VM, service, failure domain or searcher; host names have 253."""
+"""Maximum length of the name of a VM, service, failure domain or searcher; host names have up to 253."""
 MAX_COUNT = (1 << 53) - 1
 """Largest integer that every JSON parser represents exactly."""
 MAX_MS = 1e12
