--- a/rhubarbhinge/delegation/_delegates.py
+++ b/rhubarbhinge/delegation/_delegates.py
@@ -24,7 +24,7 @@
 from rhubarbhinge.members import Member, Membership
 from rhubarbhinge.net import CloseReason, FrameError, Links
 from rhubarbhinge.telemetry import log_event
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 
 TAKEN_MS = 30.0
 """An ask that has not been taken by then is lost; taking one needs a round trip of 2 to 3 ms."""
@@ -68,7 +68,7 @@
     request_id: str
     on_answer: OnAnswer
     grant: GrantAttempts
-    timer: Subscription
+    timer: TimerHandle
     sent_ms: float
     due_ms: float
     answered: bool = False
@@ -131,7 +131,7 @@
         self._asking: dict[int, _Asking] = {}
         self._bad_until_ms: dict[str, float] = {}
         self._links = Links(
-            self._opened, self._received, self._closed, notice_silence=True
+            self._opened, self._received, self._closed, detect_dead_peers=True
         ).register(self)
 
     @property
--- a/rhubarbhinge/net/__init__.py
+++ b/rhubarbhinge/net/__init__.py
@@ -1,11 +1,11 @@
-"""Components that own sockets (TCP links and UDP datagrams), and frames on links."""
+"""TCP and UDP sockets as circuits components, and length-prefixed message frames."""
 
+from rhubarbhinge.net._close_reason import CloseReason
 from rhubarbhinge.net._datagrams import Datagrams
-from rhubarbhinge.net._frameerror import FrameError
-from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, frame
+from rhubarbhinge.net._frame_error import FrameError
+from rhubarbhinge.net._frames import MAX_FRAME_BYTES, FrameSplitter, encode_frame
 from rhubarbhinge.net._links import DEFAULT_MAX_PENDING_BYTES, Links
-from rhubarbhinge.net._reason import CloseReason
-from rhubarbhinge.net._sockets import hand_over
+from rhubarbhinge.net._sockets import provide_listening_socket
 
 __all__ = [
     "DEFAULT_MAX_PENDING_BYTES",
@@ -15,6 +15,6 @@
     "FrameError",
     "FrameSplitter",
     "Links",
-    "frame",
-    "hand_over",
+    "encode_frame",
+    "provide_listening_socket",
 ]
--- a/rhubarbhinge/peers/_state_service.py
+++ b/rhubarbhinge/peers/_state_service.py
@@ -10,7 +10,7 @@
 from rhubarbhinge.peers._state_codec import encode_state
 from rhubarbhinge.published import Changes, Follower, Snapshot
 from rhubarbhinge.timing import TimerService
-from rhubarbhinge.utils.whole_number import whole_number
+from rhubarbhinge.utils.whole_number import parse_whole_number
 from rhubarbhinge.web import Request, Responder, Response, error_response
 
 MAX_DIGITS = 18
@@ -146,5 +146,5 @@
 
 def _parse_number(text: str) -> int:
     """Parse a number of a query; -1 if it is missing or invalid."""
-    number = whole_number(text, MAX_DIGITS)
+    number = parse_whole_number(text, MAX_DIGITS)
     return -1 if number is None else number
--- a/rhubarbhinge/peers/tests/state_sharing.py
+++ b/rhubarbhinge/peers/tests/state_sharing.py
@@ -11,7 +11,7 @@
 from rhubarbhinge.plans import CallerLimits, Route, Service, ServingPlan, ShardSet
 from rhubarbhinge.published import Changes, Follower, ReadFailure, Snapshot
 from rhubarbhinge.timing import TimerService
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 from rhubarbhinge.web import HttpClient, HttpServer
 
 SHARDS, LATER_SHARDS, REPLICAS = 90, 135, 3
@@ -112,7 +112,7 @@
 
     def __init__(self, root: BaseComponent, timers: TimerService, name: str, reader: ReaderNode):
         self.store = UnresponsiveSource(timers)
-        client = HttpClient(timers, takes_gzip=True).register(root)
+        client = HttpClient(timers, accept_gzip=True).register(root)
         self.source = SharedSource(timers, client, self.store, name, "hall-a", reader.port)
         self.source.set_peers(
             SingleReaderMembership(Member("vm-1", "127.0.0.1", "hall-a", 1)),
@@ -181,4 +181,4 @@
         for number, shard in enumerate(shards)
         for domain_index in range(REPLICAS)
     )
-    return Snapshot(at(100), ServingPlan(7, routes, services, CallerLimits()), searchers)
+    return Snapshot(make_revision(100), ServingPlan(7, routes, services, CallerLimits()), searchers)
--- a/rhubarbhinge/published/_unverified_searchers.py
+++ b/rhubarbhinge/published/_unverified_searchers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Container
 
 from rhubarbhinge.fleet import Searcher
-from rhubarbhinge.timing import Subscription, TimerService
+from rhubarbhinge.timing import TimerHandle, TimerService
 
 VERIFICATION_MS = 5_000.0
 """A searcher that is still published after this time has written again: otherwise its lease, three
@@ -33,7 +33,7 @@
         self._confirmed_ms = confirmed_ms
         self._on_verified = on_verified
         self._searchers: dict[str, Searcher] = {}
-        self._checks: dict[str, Subscription] = {}
+        self._checks: dict[str, TimerHandle] = {}
 
     def has_same_or_later(self, searcher: Searcher) -> bool:
         """Check whether a start, or a later start of the same searcher, is set aside.
--- a/rhubarbhinge/published/tests/test_starts.py
+++ b/rhubarbhinge/published/tests/test_starts.py
@@ -17,7 +17,7 @@
 from rhubarbhinge.published import Changes, Follower, ReadFailure, Snapshot, UnusableEntry
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.revision import NO_REVISION, Revision
-from rhubarbhinge.utils.testing_revisions import at
+from rhubarbhinge.utils.testing_revisions import make_revision
 
 SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=400)
 IDS = ("i-0", "i-1", "i-2")
@@ -54,7 +54,9 @@
 
     def list_all(self) -> Snapshot:
         good = tuple(one for one in self.searchers.values() if one is not None)
-        return Snapshot(at(self.revision), None, good, unusable=self._unusable(self.searchers))
+        return Snapshot(
+            make_revision(self.revision), None, good, unusable=self._unusable(self.searchers)
+        )
 
     def watch(self, after: int) -> Changes | ReadFailure:
         if after < self.first_revision:
@@ -65,7 +67,9 @@
         )
         removed = tuple(sorted(names - self.searchers.keys()))
         here = sorted(names & self.searchers.keys())
-        return Changes(at(self.revision), None, good, removed, unusable=self._unusable(here))
+        return Changes(
+            make_revision(self.revision), None, good, removed, unusable=self._unusable(here)
+        )
 
     def _unusable(self, names) -> tuple[UnusableEntry, ...]:
         return tuple(
@@ -325,7 +329,7 @@
 
     def test_state_of_earlier_release_without_start_time_keeps_the_start(self):
         before = self.observed()
-        snapshot = Snapshot(at(50), None, (searcher("i-0", None, warmup_ms=7.0),))
+        snapshot = Snapshot(make_revision(50), None, (searcher("i-0", None, warmup_ms=7.0),))
         self.node.follower.offer(snapshot)
         self.assertIs(self.observed(), before)
         self.assertEqual(before.searcher, searcher("i-0", 1_000, warmup_ms=7.0))
