--- a/rhubarbhinge/delegation/__init__.py
+++ b/rhubarbhinge/delegation/__init__.py
@@ -1,37 +1,38 @@
-"""Asking an entry of another failure domain to search the shards near it.
+"""Delegation of shard searches to entries in other failure domains.
 
-One reply with the merged records of several shards crosses between the domains in place of one
-reply for each shard, and a searcher has fewer callers, which know more of its load.
+The delegate searches the shards near it and returns one reply with their merged records, so that
+one reply crosses between the domains instead of one per shard. It also means that each searcher has
+fewer callers, each of which knows more about its load.
 """
 
-from rhubarbhinge.delegation._delegates import ANSWER_MARGIN_MS, Delegate, Delegates
-from rhubarbhinge.delegation._far_sends import FarSends
+from rhubarbhinge.delegation._client import REPLY_MARGIN_MS, DelegateCall, DelegateClient
+from rhubarbhinge.delegation._delegated_sender import DelegatedSender
 from rhubarbhinge.delegation._link_codec import LinkCodec
 from rhubarbhinge.delegation._messages import (
-    Answer,
-    Ask,
-    Cancel,
-    Leave,
-    LeaveWanted,
-    Taken,
+    AttemptGrant,
+    AttemptRequest,
+    DelegateAccepted,
+    DelegateCancel,
+    DelegateReply,
+    DelegateRequest,
     decode_message,
     encode_message,
 )
-from rhubarbhinge.delegation._serving import AskServer
+from rhubarbhinge.delegation._server import DelegateServer
 
 __all__ = [
-    "ANSWER_MARGIN_MS",
-    "Answer",
-    "Ask",
-    "AskServer",
-    "Cancel",
-    "Delegate",
-    "Delegates",
-    "FarSends",
-    "Leave",
-    "LeaveWanted",
+    "REPLY_MARGIN_MS",
+    "AttemptGrant",
+    "AttemptRequest",
+    "DelegateAccepted",
+    "DelegateCall",
+    "DelegateCancel",
+    "DelegateClient",
+    "DelegateReply",
+    "DelegateRequest",
+    "DelegateServer",
+    "DelegatedSender",
     "LinkCodec",
-    "Taken",
     "decode_message",
     "encode_message",
 ]
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -7,7 +7,7 @@
 
 from circuits import Component, handler
 
-from rhubarbhinge.delegation import Ask, AskServer, Delegates, FarSends
+from rhubarbhinge.delegation import DelegateClient, DelegatedSender, DelegateRequest, DelegateServer
 from rhubarbhinge.fleet import Delays, DomainReach, Fleet, ObservedSearcher, expected_cost
 from rhubarbhinge.forward import CallTerms, ConnectionPool, Dialect, Surroundings
 from rhubarbhinge.gateway._address import Address
@@ -115,7 +115,7 @@
             self._fleet,
             preference,
             self._budget,
-            lambda exchange, on_outcome: self._far_sends.send(exchange, on_outcome),
+            lambda exchange, on_outcome: self._delegated_sender.send(exchange, on_outcome),
             self._metrics,
             lambda observed, now_ms: self._warmup_limiter.may_send(observed, now_ms),
         )
@@ -162,12 +162,14 @@
         )
         self.timers.on_pause(lambda late_ms: self._warmup_limiter.on_pause())
         self._connection_limit = connection_limit(self._follower, membership, self._processes)
-        delegates = Delegates(
+        delegates = DelegateClient(
             self.timers, membership, settings.ask_port, self._rng, self._reach
         ).register(self)
         prepare = delegates.prepare
         self.timers.every(LINK_CHECK_MS, lambda: prepare(settings.failure_domain))
-        self._far_sends = FarSends(self.timers, delegates, settings.failure_domain, self._pool.send)
+        self._delegated_sender = DelegatedSender(
+            self.timers, delegates, settings.failure_domain, self._pool.send
+        )
         delegation = shard_delegation(settings.failure_domain, context, delegates, self._rng)
         dependencies = GatewayDependencies(
             context,
@@ -184,7 +186,7 @@
         self._serving_state = ServingState(
             self.timers.now_ms, self._fleet, self._gateway.can_serve, self._serving_changed
         )
-        self._asks = AskServer(
+        self._asks = DelegateServer(
             self.timers,
             context,
             self._ask_terms,
@@ -250,16 +252,16 @@
 
     def _settings_changed(self, settings: EntrySettings) -> None:
         self._budget.rule = settings.retry_budget
-        self._peers.membership.follow_seeds(settings.seed_ips)
+        self._peers.membership.set_seeds(settings.seed_ips)
 
-    def _ask_terms(self, ask: Ask, delays: Delays) -> CallTerms:
+    def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
         return ask_terms(ask, delays, self.timers.now_ms())
 
     def _processes(self) -> int:
         now_ms = self.timers.now_ms()
         if now_ms < self._membership_settled_at_ms:
-            return max(ASSUMED_ENTRIES, self._peers.membership.processes())
-        return self._peers.membership.processes()
+            return max(ASSUMED_ENTRIES, self._peers.membership.process_count())
+        return self._peers.membership.process_count()
 
     def _most_connections(self, observed: ObservedSearcher) -> int:
         return self._connection_limit(observed)
--- a/rhubarbhinge/gateway/_warmup_limiter.py
+++ b/rhubarbhinge/gateway/_warmup_limiter.py
@@ -78,9 +78,9 @@
     def _own_limit(self, observed: ObservedSearcher, limit: int) -> int:
         membership = self._membership
         domain = observed.searcher.failure_domain
-        names = membership.may_be_sending(domain) or membership.may_be_sending()
+        names = membership.potential_senders(domain) or membership.potential_senders()
         me = membership.me.name
-        if me not in names or not membership.hears_others:
+        if me not in names or not membership.has_peers:
             # An isolated entry does not know how many entries share the rate.
             return 0
         if len(names) <= limit:
--- a/rhubarbhinge/gateway/tests/test_warmup_limiter.py
+++ b/rhubarbhinge/gateway/tests/test_warmup_limiter.py
@@ -15,7 +15,7 @@
     FakeFollower,
     WarmupSimulation,
 )
-from rhubarbhinge.members import Member, Membership, Published
+from rhubarbhinge.members import Member, Membership, PublishedStatus
 from rhubarbhinge.members.tests.simulated import even_domains
 from rhubarbhinge.utils.fake_timers import FakeTimers
 from rhubarbhinge.utils.testing_revisions import make_revision
@@ -48,10 +48,10 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(make_revision(1), 0.0),
+            lambda: PublishedStatus(make_revision(1), 0.0),
         )
         for number, other in ((2, "hall-a"), (3, "hall-a"), (4, "hall-b")):
-            membership._take(Member(f"vm-{number}", f"10.0.0.{number}", other, number))
+            membership._apply(Member(f"vm-{number}", f"10.0.0.{number}", other, number))
         return WarmupLimiter(FakeFollower(per_s), membership, lambda: RULE, self.timers.now_ms)
 
     def put(self, searcher: Searcher):
--- a/rhubarbhinge/gather/_shard_delegation.py
+++ b/rhubarbhinge/gather/_shard_delegation.py
@@ -77,7 +77,7 @@
 
 
 class ShardDelegation(Struct, frozen=True):
-    """Delegates shards to other entries.
+    """DelegateClient shards to other entries.
 
     :param shards_for: selects which shards to delegate to which entry.
     :param ask: asks an entry to search shards.
--- a/rhubarbhinge/peers/_quarantine_gossip.py
+++ b/rhubarbhinge/peers/_quarantine_gossip.py
@@ -96,4 +96,4 @@
             fanout = LOCAL_FANOUT if domain == own else REMOTE_FANOUT
             live = membership.live(domain)
             for member in self._rng.sample(live, min(fanout, len(live))):
-                membership.send_to(member.ip)
+                membership.send_heartbeat(member.ip)
--- a/rhubarbhinge/peers/_state_codec.py
+++ b/rhubarbhinge/peers/_state_codec.py
@@ -9,11 +9,11 @@
 from rhubarbhinge.peers._known_state import NOTHING_KNOWN, KnownState
 from rhubarbhinge.plans import (
     CallerLimits,
-    KeptRoutes,
     PlanChange,
     Route,
     Service,
     ServingPlan,
+    UnchangedRoutes,
 )
 from rhubarbhinge.published import Changes, Evacuation, Snapshot
 from rhubarbhinge.utils.bounded_types import AgeMs, Count, Milliseconds, Name
@@ -186,7 +186,7 @@
 
 
 def _decode_plan_change(encoded: _EncodedPlanChange) -> PlanChange:
-    routes = (convert(one, KeptRoutes if "start" in one else Route) for one in encoded.routes)
+    routes = (convert(one, UnchangedRoutes if "start" in one else Route) for one in encoded.routes)
     return PlanChange(
         base_version=encoded.base_version,
         version=encoded.version,
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -5,7 +5,7 @@
 
 from msgspec.structs import replace
 
-from rhubarbhinge.members import Member, Membership, MemberState, Published
+from rhubarbhinge.members import Member, Membership, MemberState, PublishedStatus
 from rhubarbhinge.peers import KnownState, PeerReport, PeerReports, SharedSource, encode_state
 from rhubarbhinge.published import Changes, ReadFailure, Snapshot
 from rhubarbhinge.utils.fake_timers import FakeTimers
@@ -52,7 +52,7 @@
             (),
             random.Random(1),
             lambda ip, heartbeat: None,
-            lambda: Published(make_revision(40), 0.0),
+            lambda: PublishedStatus(make_revision(40), 0.0),
         )
         self.reports = PeerReports()
         self.source = SharedSource(self.timers, self.client, self.store, "vm-2", "hall-a", 7380)
