--- a/rhubarbhinge/register/__init__.py
+++ b/rhubarbhinge/register/__init__.py
@@ -1,7 +1,7 @@
-"""The operators' documents, checked into frozen models.
+"""Parsing and validation of the operators' documents into immutable models.
 
-Parsers are pure: the same bytes get the same verdict, with the same faults in the same order, on
-every node.
+Parsers are pure functions: the same bytes give the same result on every node, with the same faults
+in the same order.
 """
 
 from rhubarbhinge.register._document import to_document
--- a/rhubarbhinge/register/_document.py
+++ b/rhubarbhinge/register/_document.py
@@ -1,4 +1,4 @@
-"""Models back to the published documents."""
+"""Conversion of models to the published documents."""
 
 from dataclasses import fields, is_dataclass
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def to_document(model: object) -> Any:
-    """Turn a register, rules or VM list into JSON values.
+    """Convert a register, rules or a VM list to JSON values.
 
     :param model: The model.
     :returns: Objects, lists and scalars as the published document has them.
@@ -16,5 +16,5 @@
         return [to_document(item) for item in model]
     if not is_dataclass(model):
         return model
-    public = (each.name for each in fields(model) if not each.name.startswith("_"))
+    public = (item.name for item in fields(model) if not item.name.startswith("_"))
     return {_JSON_NAMES.get(name, name): to_document(getattr(model, name)) for name in public}
--- a/rhubarbhinge/register/_faults.py
+++ b/rhubarbhinge/register/_faults.py
@@ -1,19 +1,19 @@
-"""What is wrong with a document, as values."""
+"""Faults of a document and the result of checking it."""
 
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
 MOST_FAULTS = 100
-"""Faults that one verdict lists; further ones are only counted, so that reports stay readable."""
+"""Maximum number of faults listed in one result; to keep reports short, others are only counted."""
 
 MOST_COUNTED_FAULTS = 1_000
-"""Faults after which checking ends, so that a spoilt document can't hold a process up."""
+"""Number of faults at which checking stops, so that an invalid document cannot block a process."""
 
 T = TypeVar("T")
 
 
 class TooManyFaults(Exception):
-    """Checking came to `MOST_COUNTED_FAULTS`; caught where the verdict is made."""
+    """Raised at `MOST_COUNTED_FAULTS` faults to stop checking; `check_document` catches it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     """One fault of a document.
 
     :param place: Path of the field, such as ``collections[3].shards[0].lo``.
-    :param code: Stable code, such as ``unknown-field``.
+    :param code: Stable identifier, such as ``unknown-field``.
     :param message: What is wrong, in one sentence.
     :param todo: What to change, in one sentence.
     """
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Checked(Generic[T]):
-    """A verdict: a value, or the faults that kept it from being accepted.
+    """The result of a check: the accepted value, or the faults found.
 
     :param value: The accepted value; ``None`` when there are faults.
-    :param faults: The first `MOST_FAULTS` faults, in the order of the document's description.
-    :param more_faults: How many further faults were found and not listed; counting ends where
-        there are `MOST_COUNTED_FAULTS` in all.
+    :param faults: The first `MOST_FAULTS` faults, in the order of the documented fields.
+    :param more_faults: Number of further faults that are not listed; counting stops at
+        `MOST_COUNTED_FAULTS` faults in total.
     """
 
     value: T | None
@@ -58,17 +58,17 @@
 class FaultLog:
     """Collects faults up to `MOST_FAULTS` and counts the rest.
 
-    :param most_counted: Number of faults at which `add` raises; by default it never does.
+    :param max_counted: Number of faults at which `add` raises; ``None`` for no limit.
     """
 
-    def __init__(self, most_counted: int | None = None) -> None:
-        self._most_counted = most_counted
+    def __init__(self, max_counted: int | None = None) -> None:
+        self._max_counted = max_counted
         self._faults: list[Fault] = []
         self._count = 0
 
     @property
     def count(self) -> int:
-        """How many faults were found, listed or not."""
+        """Number of faults found, listed or not."""
         return self._count
 
     def add(self, place: str, code: str, message: str, todo: str) -> None:
@@ -78,26 +78,26 @@
         :param code: Stable code.
         :param message: What is wrong.
         :param todo: What to change.
-        :raises TooManyFaults: When a limit was given and is reached.
+        :raises TooManyFaults: If a limit was given and is reached.
         """
         self._count += 1
-        if self._count == self._most_counted:
+        if self._count == self._max_counted:
             raise TooManyFaults
         if len(self._faults) < MOST_FAULTS:
             self._faults.append(Fault(place or "document", code, message, todo))
 
     def faults(self) -> tuple[Fault, ...]:
-        """Give the listed faults.
+        """Return the listed faults.
 
         :returns: At most `MOST_FAULTS` faults.
         """
         return tuple(self._faults)
 
     def verdict(self, value: T | None) -> Checked[T]:
-        """Close the log.
+        """Return the result of the check.
 
-        :param value: The value to accept if no fault was found.
-        :returns: The verdict.
+        :param value: The value to accept if no fault was found; ``None`` if there is none.
+        :returns: The result.
         """
         if self._count or value is None:
             return Checked(None, self.faults(), self._count - len(self._faults))
--- a/rhubarbhinge/register/_fields.py
+++ b/rhubarbhinge/register/_fields.py
@@ -1,7 +1,7 @@
-"""Readers of single JSON values.
+"""Parsers of single JSON values.
 
-A reader takes a fault log, a place and a raw value, and returns the checked value, or ``None``
-after it has recorded a fault. No published field allows ``null``, so ``None`` is free to say that.
+A parser takes a fault log, a place and a raw value. It returns the checked value, or ``None`` after
+recording a fault. ``None`` is unambiguous because no published field allows ``null``.
 """
 
 import ipaddress
@@ -11,163 +11,163 @@
 from typing import Any
 
 from rhubarbhinge.register._faults import FaultLog
-from rhubarbhinge.register._json import path
+from rhubarbhinge.register._json import field_path
 
-Reader = Callable[[FaultLog, str, object], Any]
+ValueParser = Callable[[FaultLog, str, object], Any]
 """``(log, place, raw) -> value | None``."""
 
-MOST_NAME_LENGTH = 100
-"""Longest name, so that names fit into log lines and metric labels."""
+MAX_NAME_LENGTH = 100
+"""Maximum length of a name; keeps log lines and metric labels short."""
 
-MOST_SHOWN = 60
-"""Characters of a wrong value that a fault message repeats."""
+MAX_QUOTED_CHARACTERS = 60
+"""Maximum number of characters of an invalid value that a fault message quotes."""
 
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]*")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]*")
 
 
 def name(log: FaultLog, place: str, raw: object) -> str | None:
-    """Read a name of letters, digits, dots, dashes and underscores."""
+    """Parse a name of letters, digits, dots, dashes and underscores."""
     if not isinstance(raw, str):
-        return _wrong_type(log, place, raw, "a text")
-    if len(raw) > MOST_NAME_LENGTH or not _NAME.fullmatch(raw):
-        message = f"{shown(raw)} isn't a name"
-        todo = f"use 1 to {MOST_NAME_LENGTH} of A-Z a-z 0-9 . _ - and begin with a letter or digit"
+        return _report_wrong_type(log, place, raw, "a string")
+    if len(raw) > MAX_NAME_LENGTH or not _NAME_PATTERN.fullmatch(raw):
+        message = f"{shown(raw)} is not a name"
+        todo = f"use 1 to {MAX_NAME_LENGTH} of A-Z a-z 0-9 . _ - and start with a letter or digit"
         return log.add(place, "bad-name", message, todo)
     return raw
 
 
-def whole(least: int, most: int) -> Reader:
-    """Make a reader of whole numbers.
+def whole(minimum: int, maximum: int) -> ValueParser:
+    """Return a parser of integers.
 
-    :param least: Smallest number accepted.
-    :param most: Largest number accepted.
-    :returns: The reader.
+    :param minimum: Smallest number accepted.
+    :param maximum: Largest number accepted.
+    :returns: The parser.
     """
 
-    def read(log: FaultLog, place: str, raw: object) -> int | None:
+    def parse(log: FaultLog, place: str, raw: object) -> int | None:
         if isinstance(raw, bool) or not isinstance(raw, int):
-            return _wrong_type(log, place, raw, "a whole number")
-        if not least <= raw <= most:
-            return _out_of_range(log, place, raw, least, most)
+            return _report_wrong_type(log, place, raw, "an integer")
+        if not minimum <= raw <= maximum:
+            return _report_out_of_range(log, place, raw, minimum, maximum)
         return raw
 
-    return read
+    return parse
 
 
-def number(least: float, most: float) -> Reader:
-    """Make a reader of finite numbers.
+def number(minimum: float, maximum: float) -> ValueParser:
+    """Return a parser of finite numbers.
 
-    :param least: Smallest number accepted.
-    :param most: Largest number accepted.
-    :returns: The reader.
+    :param minimum: Smallest number accepted.
+    :param maximum: Largest number accepted.
+    :returns: The parser.
     """
 
-    def read(log: FaultLog, place: str, raw: object) -> float | None:
+    def parse(log: FaultLog, place: str, raw: object) -> float | None:
         if isinstance(raw, bool) or not isinstance(raw, int | float) or not math.isfinite(raw):
-            return _wrong_type(log, place, raw, "a number")
-        if not least <= raw <= most:
-            return _out_of_range(log, place, raw, least, most)
+            return _report_wrong_type(log, place, raw, "a number")
+        if not minimum <= raw <= maximum:
+            return _report_out_of_range(log, place, raw, minimum, maximum)
         return float(raw)
 
-    return read
+    return parse
 
 
-def flag(log: FaultLog, place: str, raw: object) -> bool | None:
-    """Read ``true`` or ``false``."""
+def boolean(log: FaultLog, place: str, raw: object) -> bool | None:
+    """Parse ``true`` or ``false``."""
     if not isinstance(raw, bool):
-        return _wrong_type(log, place, raw, "true or false")
+        return _report_wrong_type(log, place, raw, "true or false")
     return raw
 
 
-def choice(*options: str) -> Reader:
-    """Make a reader of one of a few texts.
+def choice(*options: str) -> ValueParser:
+    """Return a parser that accepts only given strings.
 
-    :param options: The texts accepted.
-    :returns: The reader.
+    :param options: The strings accepted.
+    :returns: The parser.
     """
     listed = " or ".join(options)
 
-    def read(log: FaultLog, place: str, raw: object) -> str | None:
+    def parse(log: FaultLog, place: str, raw: object) -> str | None:
         if not isinstance(raw, str):
-            return _wrong_type(log, place, raw, listed)
+            return _report_wrong_type(log, place, raw, listed)
         if raw not in options:
             return log.add(place, "unknown-choice", f"{shown(raw)} is unknown", f"write {listed}")
         return raw
 
-    return read
+    return parse
 
 
 def ip_number(log: FaultLog, place: str, raw: object) -> str | None:
-    """Read an IP address that one host can be reached by."""
+    """Parse a numeric IP address of a single host; multicast and unspecified are refused."""
     if not isinstance(raw, str):
-        return _wrong_type(log, place, raw, "an IP address")
-    address = _parsed_address(raw)
+        return _report_wrong_type(log, place, raw, "an IP address")
+    address = _parse_ip_address(raw)
     if address is None or address.is_multicast or address.is_unspecified:
-        message = f"{shown(raw)} isn't the IP address of a host"
-        todo = "write the number, such as 10.0.0.7; names aren't resolved"
+        message = f"{shown(raw)} is not the IP address of a host"
+        todo = "write a numeric address, such as 10.0.0.7; host names are not resolved"
         return log.add(place, "bad-ip", message, todo)
     return raw
 
 
-def array(read_item: Reader, least: int, most: int) -> Reader:
-    """Make a reader of lists.
+def array(parse_item: ValueParser, minimum: int, maximum: int) -> ValueParser:
+    """Return a parser of lists.
 
-    :param read_item: Reader of one item.
-    :param least: Fewest items accepted.
-    :param most: Most items accepted.
-    :returns: A reader that gives a tuple, with ``None`` for items at fault.
+    :param parse_item: Parser of one item.
+    :param minimum: Minimum number of items.
+    :param maximum: Maximum number of items.
+    :returns: A parser that returns a tuple, with ``None`` for each invalid item.
     """
 
-    def read(log: FaultLog, place: str, raw: object) -> tuple | None:
+    def parse(log: FaultLog, place: str, raw: object) -> tuple | None:
         if not isinstance(raw, list):
-            return _wrong_type(log, place, raw, "a list")
-        if not least <= len(raw) <= most:
+            return _report_wrong_type(log, place, raw, "a list")
+        if not minimum <= len(raw) <= maximum:
             message = f"the list has {len(raw)} items"
-            log.add(place, "bad-count", message, f"list {least} to {most} items")
-        items = enumerate(raw[:most])
-        return tuple(read_item(log, f"{place}[{index}]", item) for index, item in items)
+            log.add(place, "bad-count", message, f"list {minimum} to {maximum} items")
+        items = enumerate(raw[:maximum])
+        return tuple(parse_item(log, f"{place}[{index}]", item) for index, item in items)
 
-    return read
+    return parse
 
 
 def record(
     build: Callable[..., Any],
-    readers: Mapping[str, Reader],
+    parsers: Mapping[str, ValueParser],
     optional: frozenset[str] = frozenset(),
-    renamed: Mapping[str, str] | None = None,
-) -> Reader:
-    """Make a reader of objects with known fields.
+    argument_names: Mapping[str, str] | None = None,
+) -> ValueParser:
+    """Return a parser of objects with known fields.
 
-    :param build: Called with the fields, once all of them are good.
-    :param readers: Reader of each field.
+    :param build: Called with the field values if all of them are valid.
+    :param parsers: Parser of each field, by field name.
     :param optional: Fields that may be left out.
-    :param renamed: Arguments of `build` that are named differently from their field.
-    :returns: The reader.
+    :param argument_names: Argument of `build`, by field name, where the two differ.
+    :returns: The parser.
     """
-    renamed = renamed or {}
+    argument_names = argument_names or {}
 
-    def read(log: FaultLog, place: str, raw: object) -> Any:
+    def parse(log: FaultLog, place: str, raw: object) -> Any:
         if not isinstance(raw, dict):
-            return _wrong_type(log, place, raw, "an object")
-        before = log.count
+            return _report_wrong_type(log, place, raw, "an object")
+        faults_before = log.count
         values = {}
         prefix = f"{place}." if place else ""
-        for key, reader in readers.items():
+        for key, parser in parsers.items():
             if key in raw:
-                values[renamed.get(key, key)] = reader(log, prefix + key, raw[key])
+                values[argument_names.get(key, key)] = parser(log, prefix + key, raw[key])
             elif key not in optional:
                 log.add(prefix + key, "missing-field", "the field is missing", "add it")
-        _report_unknown(log, place, raw, readers)
-        return build(**values) if log.count == before else None
+        _report_unknown_fields(log, place, raw, parsers)
+        return build(**values) if log.count == faults_before else None
 
-    return read
+    return parse
 
 
 def shown(raw: object) -> str:
-    """Show a raw value in a message, in bounded length and plain ASCII.
+    """Format a raw value for a message, in bounded length and plain ASCII.
 
     :param raw: The value.
-    :returns: The value or, for lists and objects, what it is.
+    :returns: The value; for a list or an object, only its type.
     """
     if isinstance(raw, dict):
         return "an object"
@@ -176,11 +176,11 @@
     if raw is None or isinstance(raw, bool):
         return {None: "null", True: "true", False: "false"}[raw]
     if isinstance(raw, str):
-        return ascii(raw[:MOST_SHOWN])
-    return str(raw)[:MOST_SHOWN]
+        return ascii(raw[:MAX_QUOTED_CHARACTERS])
+    return str(raw)[:MAX_QUOTED_CHARACTERS]
 
 
-def _parsed_address(raw: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
+def _parse_ip_address(raw: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
     if "%" in raw:
         return None
     try:
@@ -189,17 +189,21 @@
         return None
 
 
-def _report_unknown(log: FaultLog, place: str, raw: dict, readers: Mapping[str, Reader]) -> None:
-    for key in sorted(raw.keys() - readers.keys()):
+def _report_unknown_fields(
+    log: FaultLog, place: str, raw: dict, parsers: Mapping[str, ValueParser]
+) -> None:
+    for key in sorted(raw.keys() - parsers.keys()):
         message = "the field is unknown"
-        todo = "remove it or correct its name; known here: " + ", ".join(readers)
-        log.add(path(place, key), "unknown-field", message, todo)
+        todo = "remove it or correct its name; known fields: " + ", ".join(parsers)
+        log.add(field_path(place, key), "unknown-field", message, todo)
 
 
-def _wrong_type(log: FaultLog, place: str, raw: object, wanted: str) -> None:
-    log.add(place, "wrong-type", f"{shown(raw)} isn't {wanted}", f"write {wanted}")
+def _report_wrong_type(log: FaultLog, place: str, raw: object, expected: str) -> None:
+    log.add(place, "wrong-type", f"{shown(raw)} is not {expected}", f"write {expected}")
 
 
-def _out_of_range(log: FaultLog, place: str, raw: float, least: float, most: float) -> None:
+def _report_out_of_range(
+    log: FaultLog, place: str, raw: float, minimum: float, maximum: float
+) -> None:
     message = f"{shown(raw)} is out of range"
-    log.add(place, "out-of-range", message, f"write a number from {least} to {most}")
+    log.add(place, "out-of-range", message, f"write a number from {minimum} to {maximum}")
--- a/rhubarbhinge/register/_inventory.py
+++ b/rhubarbhinge/register/_inventory.py
@@ -1,4 +1,4 @@
-"""The operators' asset register as frozen data."""
+"""Immutable model of the operators' asset register."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -13,9 +13,9 @@
     """A kind of upstream.
 
     :param name: Unique name.
-    :param slots: Searches that one upstream runs at once.
-    :param connections: Connections that one upstream accepts.
-    :param connect_ms: Usual time to open one connection, in milliseconds.
+    :param slots: Number of searches that one upstream runs concurrently.
+    :param connections: Number of connections that one upstream accepts.
+    :param connect_ms: Typical time to open one connection, in milliseconds.
     """
 
     name: str
@@ -32,9 +32,9 @@
     :param system: Name of its system.
     :param instance: Name of the VM that it runs on.
     :param failure_domain: Failure domain of that VM.
-    :param ip: IP address, as a number.
+    :param ip: Numeric IP address.
     :param port: TCP port.
-    :param leaving: Whether it must get no new work.
+    :param leaving: Whether it must not receive new requests.
     """
 
     name: str
@@ -88,8 +88,8 @@
 
     :param name: Unique name.
     :param system: Name of the system that holds it.
-    :param about: Names of the plants, units and suppliers that its records are about.
-    :param shards: Its shards in ascending order, without gap or overlap.
+    :param about: Names of the plants, units and suppliers that its records concern.
+    :param shards: Its shards in ascending order, without gaps or overlaps.
     """
 
     name: str
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """Something that can be run on an upstream, such as an order.
+    """An operation that an upstream can run, such as an order.
 
     :param name: Unique name.
     :param system: Name of the system that runs it.
@@ -114,10 +114,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """The asset register of one tenant.
+    """The asset register of one workspace.
 
-    :param revision: Number that grows with each publication.
-    :param tenant: Name of the tenant.
+    :param revision: Number that increases with each publication.
+    :param tenant: Name of the workspace.
     :param failure_domains: Names of the failure domains.
     :param systems: The kinds of upstream.
     :param upstreams: The upstreams.
--- a/rhubarbhinge/register/_parse_rules.py
+++ b/rhubarbhinge/register/_parse_rules.py
@@ -1,50 +1,50 @@
 """The parser of the ``rules`` document, and the checks of rules against a register."""
 
 from rhubarbhinge.register import _fields as fields
-from rhubarbhinge.register import _raw as raws
+from rhubarbhinge.register import _lenient as lenient
+from rhubarbhinge.register._check_document import check_document
 from rhubarbhinge.register._faults import Checked, Fault, FaultLog
 from rhubarbhinge.register._inventory import Register
-from rhubarbhinge.register._parse_register import MOST_ACTIONS, MOST_COLLECTIONS, MOST_REVISION
+from rhubarbhinge.register._parse_register import MAX_ACTIONS, MAX_COLLECTIONS, MAX_REVISION
 from rhubarbhinge.register._rules import Limits, Route, Rules, TrafficClass
-from rhubarbhinge.register._verdict import check_document
 
-MOST_CLASSES = 32
-MOST_WEIGHT = 1_000
-MOST_DEADLINE_MS = 600_000
-MOST_IN_FLIGHT = 1_000_000
-LEAST_HEDGE_QUANTILE = 0.5
-"""Below the median more sub-queries would be hedged than not."""
+MAX_CLASSES = 32
+MAX_WEIGHT = 1_000
+MAX_DEADLINE_MS = 600_000
+MAX_IN_FLIGHT = 1_000_000
+MIN_HEDGE_QUANTILE = 0.5
+"""Below the median, more than half of all sub-queries would be hedged."""
 
-MOST_HEDGE_QUANTILE = 0.9999
-"""Beyond, a latency histogram has too few samples to tell."""
+MAX_HEDGE_QUANTILE = 0.9999
+"""Above this quantile, a latency histogram has too few samples for an estimate."""
 
-_class = fields.record(
+_class_parser = fields.record(
     TrafficClass,
     {
         "name": fields.name,
-        "weight": fields.whole(1, MOST_WEIGHT),
+        "weight": fields.whole(1, MAX_WEIGHT),
         "prefers": fields.choice("latency", "coverage"),
-        "deadline_ms": fields.whole(1, MOST_DEADLINE_MS),
+        "deadline_ms": fields.whole(1, MAX_DEADLINE_MS),
         "least_coverage": fields.number(0, 1),
         "extra_load": fields.number(0, 1),
-        "hedge_quantile": fields.number(LEAST_HEDGE_QUANTILE, MOST_HEDGE_QUANTILE),
+        "hedge_quantile": fields.number(MIN_HEDGE_QUANTILE, MAX_HEDGE_QUANTILE),
     },
 )
-_route = fields.record(
+_route_parser = fields.record(
     Route,
     {"collection": fields.name, "class": fields.name},
-    renamed={"class": "traffic_class"},
+    argument_names={"class": "traffic_class"},
 )
-_limits = fields.record(Limits, {"in_flight": fields.whole(1, MOST_IN_FLIGHT)})
-_rules = fields.record(
+_limits_parser = fields.record(Limits, {"in_flight": fields.whole(1, MAX_IN_FLIGHT)})
+_rules_parser = fields.record(
     Rules,
     {
-        "revision": fields.whole(1, MOST_REVISION),
-        "classes": fields.array(_class, 1, MOST_CLASSES),
+        "revision": fields.whole(1, MAX_REVISION),
+        "classes": fields.array(_class_parser, 1, MAX_CLASSES),
         "default_class": fields.name,
-        "routes": fields.array(_route, 0, MOST_COLLECTIONS),
-        "never_repeat": fields.array(fields.name, 0, MOST_ACTIONS),
-        "limits": _limits,
+        "routes": fields.array(_route_parser, 0, MAX_COLLECTIONS),
+        "never_repeat": fields.array(fields.name, 0, MAX_ACTIONS),
+        "limits": _limits_parser,
     },
 )
 
@@ -55,36 +55,40 @@
     :param data: The raw document.
     :returns: The rules, or all faults found.
     """
-    return check_document(data, _rules, _check_rules)
+    return check_document(data, _rules_parser, _check_rules)
 
 
 def cross_check(register: Register, rules: Rules) -> tuple[Fault, ...]:
-    """Check rules against the register that they are for.
+    """Check rules against the register they apply to.
 
     :param register: The register.
-    :param rules: The rules; places are of their document.
-    :returns: The faults; none when the two fit.
+    :param rules: The rules; the places of the faults refer to their document.
+    :returns: The faults; empty if the rules fit the register.
     """
     log = FaultLog()
     collections = {collection.name for collection in register.collections}
     routes = enumerate(rules.routes)
     placed = [(f"routes[{index}].collection", route.collection) for index, route in routes]
-    raws.check_known(log, placed, collections, "collection", "the register's collections")
+    lenient.check_references(log, placed, collections, "collection", "the register's collections")
     actions = {action.name for action in register.actions}
     placed = [(f"never_repeat[{index}]", name) for index, name in enumerate(rules.never_repeat)]
-    raws.check_known(log, placed, actions, "action", "the register's actions")
+    lenient.check_references(log, placed, actions, "action", "the register's actions")
     return log.faults()
 
 
 def _check_rules(log: FaultLog, raw: object) -> None:
-    classes = raws.names(raw, "classes")
-    raws.check_unique(log, raws.placed_names(raw, "classes"), "the class")
+    classes = lenient.objects_by_name(raw, "classes")
+    lenient.check_unique(log, lenient.placed_names(raw, "classes"), "the class")
     if isinstance(raw, dict):
-        default = raws.text(raw, "default_class", "")
-        raws.check_known(log, default, classes, "class", "classes")
-    routes = list(raws.objects(raw, "routes"))
+        default = lenient.string(raw, "default_class", "")
+        lenient.check_references(log, default, classes, "class", "classes")
+    routes = list(lenient.objects(raw, "routes"))
     for place, route in routes:
-        raws.check_known(log, raws.text(route, "class", place), classes, "class", "classes")
-    collections = [item for at, each in routes for item in raws.text(each, "collection", at)]
-    raws.check_unique(log, collections, "the route of collection")
-    raws.check_unique(log, raws.texts(raw, "never_repeat"), "the action")
+        lenient.check_references(
+            log, lenient.string(route, "class", place), classes, "class", "classes"
+        )
+    collections = [
+        item for place, route in routes for item in lenient.string(route, "collection", place)
+    ]
+    lenient.check_unique(log, collections, "the route of collection")
+    lenient.check_unique(log, lenient.strings(raw, "never_repeat"), "the action")
--- a/rhubarbhinge/register/_parse_vms.py
+++ b/rhubarbhinge/register/_parse_vms.py
@@ -1,40 +1,40 @@
 """The parser of the ``vms`` document."""
 
 from rhubarbhinge.register import _fields as fields
-from rhubarbhinge.register import _raw as raws
+from rhubarbhinge.register import _lenient as lenient
+from rhubarbhinge.register._check_document import check_document
 from rhubarbhinge.register._faults import Checked, FaultLog
 from rhubarbhinge.register._fields import shown
-from rhubarbhinge.register._parse_register import MOST_PORT, MOST_REVISION
-from rhubarbhinge.register._verdict import check_document
+from rhubarbhinge.register._parse_register import MAX_PORT, MAX_REVISION
 from rhubarbhinge.register._vms import Node, Vm, VmList
 
-MOST_VMS = 20_000
-MOST_NODES = 16
-"""Processes of this system on one VM."""
+MAX_VMS = 20_000
+MAX_NODES = 16
+"""Maximum number of processes of this system on one VM."""
 
-_node = fields.record(
+_node_parser = fields.record(
     Node,
     {
         "role": fields.choice("entry", "relay"),
-        "peer_port": fields.whole(1, MOST_PORT),
-        "http_port": fields.whole(1, MOST_PORT),
+        "peer_port": fields.whole(1, MAX_PORT),
+        "http_port": fields.whole(1, MAX_PORT),
     },
 )
-_vm = fields.record(
+_vm_parser = fields.record(
     Vm,
     {
         "name": fields.name,
         "failure_domain": fields.name,
         "ip": fields.ip_number,
         "state": fields.choice("live", "leaving"),
-        "nodes": fields.array(_node, 0, MOST_NODES),
+        "nodes": fields.array(_node_parser, 0, MAX_NODES),
     },
 )
-_vms = fields.record(
+_vms_parser = fields.record(
     VmList,
     {
-        "revision": fields.whole(1, MOST_REVISION),
-        "vms": fields.array(_vm, 0, MOST_VMS),
+        "revision": fields.whole(1, MAX_REVISION),
+        "vms": fields.array(_vm_parser, 0, MAX_VMS),
     },
 )
 
@@ -45,30 +45,34 @@
     :param data: The raw document.
     :returns: The VMs, or all faults found.
     """
-    return check_document(data, _vms, _check_vms)
+    return check_document(data, _vms_parser, _check_vms)
 
 
 def _check_vms(log: FaultLog, raw: object) -> None:
-    raws.check_unique(log, raws.placed_names(raw, "vms"), "the VM")
-    for place, vm in raws.objects(raw, "vms"):
-        nodes = raws.objects(vm, "nodes", place)
-        roles = [item for at, node in nodes for item in raws.text(node, "role", at)]
-        raws.check_unique(log, roles, "the role")
+    lenient.check_unique(log, lenient.placed_names(raw, "vms"), "the VM")
+    for place, vm in lenient.objects(raw, "vms"):
+        nodes = lenient.objects(vm, "nodes", place)
+        roles = [
+            item for node_place, node in nodes for item in lenient.string(node, "role", node_place)
+        ]
+        lenient.check_unique(log, roles, "the role")
     _check_addresses(log, raw)
 
 
 def _check_addresses(log: FaultLog, raw: object) -> None:
-    first: dict[tuple[str, int], str] = {}
-    for place, vm in raws.objects(raw, "vms"):
-        for at, node in raws.objects(vm, "nodes", place):
+    first_places: dict[tuple[str, int], str] = {}
+    for place, vm in lenient.objects(raw, "vms"):
+        for node_place, node in lenient.objects(vm, "nodes", place):
             for key in ("peer_port", "http_port"):
-                _check_address(log, first, vm.get("ip"), node.get(key), f"{at}.{key}")
+                _check_address(
+                    log, first_places, vm.get("ip"), node.get(key), f"{node_place}.{key}"
+                )
 
 
-def _check_address(log: FaultLog, first: dict, ip: object, port: object, place: str) -> None:
+def _check_address(log: FaultLog, first_places: dict, ip: object, port: object, place: str) -> None:
     if not isinstance(ip, str) or type(port) is not int:
         return
-    if (ip, port) in first:
-        message = f"{shown(ip)} port {port} stands already at {first[ip, port]}"
+    if (ip, port) in first_places:
+        message = f"{shown(ip)} port {port} is already used at {first_places[ip, port]}"
         log.add(place, "duplicate-address", message, "correct the ip or the port")
-    first.setdefault((ip, port), place)
+    first_places.setdefault((ip, port), place)
--- a/rhubarbhinge/register/_rules.py
+++ b/rhubarbhinge/register/_rules.py
@@ -1,4 +1,4 @@
-"""The operators' rules as frozen data."""
+"""Immutable model of the operators' rules."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """How the queries of one class are treated.
+    """How queries of one traffic class are handled.
 
     :param name: Unique name.
     :param weight: Share of the capacity relative to other classes.
-    :param prefers: Which of the two gives way when both can't be had.
-    :param deadline_ms: Time to the answer, in milliseconds.
+    :param prefers: Which of the two is kept when not both can be met.
+    :param deadline_ms: Time limit for the answer, in milliseconds.
     :param least_coverage: Fraction of the records below which an answer is refused.
     :param extra_load: Hedges and retries allowed, as a fraction of the base load.
     :param hedge_quantile: Quantile of the latency after which a sub-query is hedged.
@@ -44,7 +44,7 @@
 class Limits:
     """Limits of one entry.
 
-    :param in_flight: Queries that one entry works on at once.
+    :param in_flight: Maximum number of queries in progress on one entry.
     """
 
     in_flight: int
@@ -52,13 +52,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The rules of one tenant.
+    """The rules of one workspace.
 
-    :param revision: Number that grows with each publication.
+    :param revision: Number that increases with each publication.
     :param classes: The traffic classes.
     :param default_class: Name of the class of collections without a route.
     :param routes: Classes of collections.
-    :param never_repeat: Names of the actions that run at most once a request.
+    :param never_repeat: Names of the actions that run at most once per request.
     :param limits: Limits of one entry.
     """
 
@@ -73,7 +73,7 @@
     _never_repeat: frozenset[str] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        classes = {each.name: each for each in self.classes}
+        classes = {item.name: item for item in self.classes}
         routes = {route.collection: route.traffic_class for route in self.routes}
         object.__setattr__(self, "_classes", MappingProxyType(classes))
         object.__setattr__(self, "_routes", MappingProxyType(routes))
@@ -91,16 +91,16 @@
         """Choose the class of a query.
 
         :param collection: Name of the collection.
-        :param asked: Name of the class that the caller asked for; an unknown one is ignored, so
-            callers that want to refuse it look it up by `traffic_class` first.
-        :returns: The asked class, else the collection's, else the default class.
+        :param asked: Name of the class that the caller requested. An unknown name is ignored; to
+            refuse it, look it up with `traffic_class` first.
+        :returns: The requested class, else the collection's, else the default class.
         """
         if asked is not None and asked in self._classes:
             return self._classes[asked]
         return self._classes[self._routes.get(collection, self.default_class)]
 
     def repeatable(self, action: str) -> bool:
-        """Tell whether a request for an action may be sent twice.
+        """Return whether a request for an action may be sent more than once.
 
         :param action: Name of the action.
         :returns: ``False`` for the actions listed in `never_repeat`.
--- a/rhubarbhinge/register/_vms.py
+++ b/rhubarbhinge/register/_vms.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs as frozen data."""
+"""Immutable model of the platform's list of VMs."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 class Node:
     """One process of this system.
 
-    :param role: Program that runs.
+    :param role: Program that the process runs.
     :param peer_port: TCP and UDP port for other nodes.
     :param http_port: TCP port for callers and operators.
     """
@@ -24,10 +24,10 @@
 class Vm:
     """One VM.
 
-    :param name: Unique name; of an upstream VM, the register's ``instance``.
+    :param name: Unique name; for the VM of an upstream, its ``instance`` in the register.
     :param failure_domain: Its failure domain.
-    :param ip: IP address, as a number.
-    :param state: Whether it stays.
+    :param ip: Numeric IP address.
+    :param state: Whether the VM stays (``live``) or is being removed (``leaving``).
     :param nodes: The processes of this system on it.
     """
 
@@ -38,7 +38,7 @@
     nodes: tuple[Node, ...]
 
     def node_name(self, node: Node) -> str:
-        """Name a node of this VM.
+        """Return the name of a node of this VM.
 
         :param node: The node.
         :returns: ``<vm name>/<role>``.
@@ -48,9 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class VmList:
-    """The VMs as the platform last saw them.
+    """The VMs as last reported by the platform.
 
-    :param revision: Number that grows with each publication.
+    :param revision: Number that increases with each publication.
     :param vms: The VMs.
     """
 
--- a/rhubarbhinge/register/fields.py
+++ b/rhubarbhinge/register/fields.py
@@ -1,4 +1,4 @@
-"""Readers of single values, for other documents and settings that need the same checks."""
+"""Parsers of single values, for other documents and settings that need the same checks."""
 
 from rhubarbhinge.register._fields import ip_number, name, shown, whole
 
--- a/rhubarbhinge/register/tests/test_json.py
+++ b/rhubarbhinge/register/tests/test_json.py
@@ -106,7 +106,7 @@
     def test_text_that_never_closes_is_one_piece(self):
         """Otherwise each of its quotes would be tried, to the end of the document."""
         data = b'"' + b'\\"' * 1_000
-        self.assertEqual(len(list(_json._STRING.finditer(data))), 1)
+        self.assertEqual(len(list(_json._STRING_PATTERN.finditer(data))), 1)
 
 
 if __name__ == "__main__":
