--- a/rhubarbhinge/register/tests/documents.py
+++ b/rhubarbhinge/register/tests/documents.py
@@ -1,4 +1,4 @@
-"""Valid documents, for tests to accept and to spoil."""
+"""Generators of valid documents, which tests parse as they are or with changed values."""
 
 from hypothesis import strategies as st
 
@@ -7,7 +7,7 @@
 
 @st.composite
 def registers(draw):
-    """Make a valid register."""
+    """Generate valid registers."""
     domains = [f"zone-{index}" for index in range(draw(st.integers(1, 4)))]
     systems = [f"system-{index}" for index in range(draw(st.integers(1, 3)))]
     upstreams = [
@@ -22,8 +22,8 @@
         }
         for index in range(len(systems) * draw(st.integers(1, 3)))
     ]
-    members = {
-        system: [each["name"] for each in upstreams if each["system"] == system]
+    upstreams_by_system = {
+        system: [upstream["name"] for upstream in upstreams if upstream["system"] == system]
         for system in systems
     }
     return {
@@ -42,19 +42,21 @@
                 "name": f"collection-{index}",
                 "system": system,
                 "about": draw(st.lists(st.sampled_from(["rockfort", "rockfort-2"]), unique=True)),
-                "shards": draw(_shards(members[system])),
+                "shards": draw(_shards(upstreams_by_system[system])),
             }
             for index, system in enumerate(systems)
         ],
-        "actions": [{"name": "order", "system": systems[0], "upstreams": members[systems[0]]}],
+        "actions": [
+            {"name": "order", "system": systems[0], "upstreams": upstreams_by_system[systems[0]]}
+        ],
     }
 
 
 @st.composite
-def _shards(draw, members):
-    cuts = draw(st.sets(st.integers(1, KEY_SPACE - 1), max_size=5))
-    bounds = [0, *sorted(cuts), KEY_SPACE]
-    replicas = st.lists(st.sampled_from(members), min_size=1, unique=True)
+def _shards(draw, upstream_names):
+    split_points = draw(st.sets(st.integers(1, KEY_SPACE - 1), max_size=5))
+    bounds = [0, *sorted(split_points), KEY_SPACE]
+    replicas = st.lists(st.sampled_from(upstream_names), min_size=1, unique=True)
     return [
         {"lo": lo, "hi": hi, "upstreams": draw(replicas)}
         for lo, hi in zip(bounds, bounds[1:], strict=False)
@@ -62,7 +64,7 @@
 
 
 def rules():
-    """Make valid rules for any of `registers`."""
+    """Return valid rules that fit each of `registers`."""
     classes = [
         {
             "name": name,
@@ -86,27 +88,27 @@
 
 
 def vms():
-    """Make a valid list of VMs."""
+    """Return a valid list of VMs."""
     nodes = [
         {"role": "entry", "peer_port": 7001, "http_port": 8001},
         {"role": "relay", "peer_port": 7002, "http_port": 8002},
     ]
-    ours = {"name": "a-1", "failure_domain": "a", "ip": "10.0.0.1", "state": "live"}
-    theirs = {"name": "vm-0", "failure_domain": "a", "ip": "10.0.0.2", "state": "leaving"}
-    return {"revision": 1, "vms": [ours | {"nodes": nodes}, theirs | {"nodes": []}]}
+    entry_vm = {"name": "a-1", "failure_domain": "a", "ip": "10.0.0.1", "state": "live"}
+    upstream_vm = {"name": "vm-0", "failure_domain": "a", "ip": "10.0.0.2", "state": "leaving"}
+    return {"revision": 1, "vms": [entry_vm | {"nodes": nodes}, upstream_vm | {"nodes": []}]}
 
 
-def places(value, place=""):
-    """Go through all values inside a document.
+def values_with_places(value, place=""):
+    """Iterate over all values in a document.
 
     :returns: Place, container and key of each.
     """
     if isinstance(value, dict):
         for key, item in value.items():
-            at = f"{place}.{key}" if place else key
-            yield at, value, key
-            yield from places(item, at)
+            item_place = f"{place}.{key}" if place else key
+            yield item_place, value, key
+            yield from values_with_places(item, item_place)
     elif isinstance(value, list):
         for index, item in enumerate(value):
             yield f"{place}[{index}]", value, index
-            yield from places(item, f"{place}[{index}]")
+            yield from values_with_places(item, f"{place}[{index}]")
--- a/rhubarbhinge/register/tests/test_docs.py
+++ b/rhubarbhinge/register/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""docs/register.md lists each fault code that the checks give."""
+"""docs/register.md lists exactly the fault codes that the checks report."""
 
 import re
 import unittest
@@ -6,16 +6,16 @@
 
 SOURCES = Path("rhubarbhinge/register").glob("_*.py")
 CODE = re.compile(r"[\"`]([a-z]+(?:-[a-z]+)+)[\"`]")
-"""Codes are the only words with dashes that stand alone, in the sources and in the page."""
+"""In the sources and on the page, only fault codes are quoted words that contain a hyphen."""
 
 
 class DocsTest(unittest.TestCase):
-    def test_each_code_is_described(self):
+    def test_documented_codes_match_the_sources(self):
         text = Path("docs/register.md").read_text()
-        described = set(CODE.findall(text.partition("## Faults")[2]))
-        given = {code for path in SOURCES for code in CODE.findall(path.read_text())}
-        self.assertGreater(len(given), 15)
-        self.assertEqual(given, described)
+        documented = set(CODE.findall(text.partition("## Faults")[2]))
+        reported = {code for path in SOURCES for code in CODE.findall(path.read_text())}
+        self.assertGreater(len(reported), 15)
+        self.assertEqual(reported, documented)
 
 
 if __name__ == "__main__":
--- a/rhubarbhinge/register/tests/test_json.py
+++ b/rhubarbhinge/register/tests/test_json.py
@@ -1,4 +1,4 @@
-"""Hostile documents are refused whole, by the same verdict each time."""
+"""Malformed and oversized documents: parsers never raise and give the same result each time."""
 
 import json
 import unittest
@@ -37,7 +37,7 @@
 )
 
 
-def codes(checked):
+def places_and_codes(checked):
     return [(fault.place, fault.code) for fault in checked.faults]
 
 
@@ -60,25 +60,27 @@
     def test_not_json(self):
         for data in (b"", b"{", b"NaN", b'{"a":Infinity}', b"1e400", b"\xff", b'"\\ud800"', b"'a'"):
             for parse in PARSERS:
-                self.assertEqual(codes(parse(data)), [("document", "not-json")], data)
+                self.assertEqual(places_and_codes(parse(data)), [("document", "not-json")], data)
 
     def test_huge_numbers_are_faults_and_not_errors(self):
         checked = parse_vms(b'{"revision": ' + b"9" * 5000 + b', "vms": []}')
         self.assertFalse(checked.ok)
 
-    def test_bounds(self):
-        big = b" " * (MOST_BYTES + 1)
-        self.assertEqual(codes(parse_register(big)), [("document", "too-large")])
+    def test_size_and_depth_limits(self):
+        oversized = b" " * (MOST_BYTES + 1)
+        self.assertEqual(places_and_codes(parse_register(oversized)), [("document", "too-large")])
         deep = b"[" * 17 + b"]" * 17
-        self.assertEqual(codes(parse_register(deep)), [("document", "too-deep")])
+        self.assertEqual(places_and_codes(parse_register(deep)), [("document", "too-deep")])
         hidden = b'{"vms": ' + deep + b', "vms": []}'
-        self.assertEqual(codes(parse_vms(hidden)), [("document", "too-deep")])
-        in_text = b'{"revision": 1, "' + b"[" * 30 + b'": 1, "vms": []}'
-        self.assertEqual([code for _, code in codes(parse_vms(in_text))], ["unknown-field"])
+        self.assertEqual(places_and_codes(parse_vms(hidden)), [("document", "too-deep")])
+        in_string = b'{"revision": 1, "' + b"[" * 30 + b'": 1, "vms": []}'
+        self.assertEqual(
+            [code for _, code in places_and_codes(parse_vms(in_string))], ["unknown-field"]
+        )
 
-    def test_duplicate_keys_are_found_at_every_level(self):
+    def test_duplicate_keys_are_reported_at_every_level(self):
         data = b'{"revision": 1, "vms": [{"name": "a", "name": "b"}], "revision": 2}'
-        found = codes(parse_vms(data))
+        found = places_and_codes(parse_vms(data))
         self.assertEqual(
             found[:2], [("vms[0].name", "duplicate-key"), ("revision", "duplicate-key")]
         )
@@ -89,7 +91,7 @@
         self.assertEqual(len(checked.faults), MOST_FAULTS)
         self.assertEqual(checked.more_faults, 300 - MOST_FAULTS)
 
-    def test_counting_ends(self):
+    def test_counting_stops_at_the_limit(self):
         data = json.dumps({"revision": 1, "vms": [0] * 3000}).encode()
         checked = parse_vms(data)
         self.assertIsNone(checked.value)
@@ -103,8 +105,8 @@
                 self.assertTrue(text.isascii() and text.isprintable())
                 self.assertLess(len(text), 300)
 
-    def test_text_that_never_closes_is_one_piece(self):
-        """Otherwise each of its quotes would be tried, to the end of the document."""
+    def test_unterminated_string_is_one_match(self):
+        """Guards against matching from each inner quote to the end, in quadratic time."""
         data = b'"' + b'\\"' * 1_000
         self.assertEqual(len(list(_json._STRING_PATTERN.finditer(data))), 1)
 
--- a/rhubarbhinge/register/tests/test_register.py
+++ b/rhubarbhinge/register/tests/test_register.py
@@ -1,4 +1,4 @@
-"""Registers: accepted ones round-trip, and faults name the place that was spoilt."""
+"""Register parsing: valid documents round-trip, and each fault names the invalid place."""
 
 import copy
 import dataclasses
@@ -9,22 +9,22 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.register import parse_register, to_document
-from rhubarbhinge.register.tests.documents import places, registers
+from rhubarbhinge.register.tests.documents import registers, values_with_places
 
-OPTIONAL = {"leaving"}
+OPTIONAL_FIELDS = {"leaving"}
 
 
-def found(document):
-    return {(fault.place, fault.code) for fault in parse_register(_bytes(document)).faults}
+def faults_in(document):
+    return {(fault.place, fault.code) for fault in parse_register(_encode(document)).faults}
 
 
-def _bytes(document):
+def _encode(document):
     return json.dumps(document).encode()
 
 
-def small():
-    """Two systems of two upstreams in two failure domains, two shards."""
-    ups = [
+def small_register():
+    """Return a register of two systems, four upstreams, two failure domains and two shards."""
+    upstreams = [
         {
             "name": f"{system}-{index}",
             "system": system,
@@ -49,7 +49,7 @@
             {"name": name, "slots": 2, "connections": 25, "connect_ms": 6}
             for name in ("desk", "stores")
         ],
-        "upstreams": ups,
+        "upstreams": upstreams,
         "plants": [{"name": "rockfort", "units": ["rockfort-1"]}],
         "suppliers": [{"name": "parts"}],
         "collections": [
@@ -63,56 +63,56 @@
     @settings(derandomize=True, deadline=None, database=None)
     @given(registers())
     def test_accepted_documents_round_trip(self, document):
-        checked = parse_register(_bytes(document))
+        checked = parse_register(_encode(document))
         self.assertEqual(checked.faults, ())
         self.assertEqual(to_document(checked.value), document)
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=300)
     @given(registers(), st.data())
-    def test_spoilt_values_are_named(self, document, data):
-        place, holder, key = data.draw(st.sampled_from(list(places(document))))
-        wrong = data.draw(st.sampled_from([None, {"a": 1}, 1.5, -1, "", "\n", [[]], 2**70]))
-        holder[key] = wrong
-        if key == "connect_ms" and wrong == 1.5:
+    def test_invalid_value_is_reported_at_its_place(self, document, data):
+        place, container, key = data.draw(st.sampled_from(list(values_with_places(document))))
+        invalid = data.draw(st.sampled_from([None, {"a": 1}, 1.5, -1, "", "\n", [[]], 2**70]))
+        container[key] = invalid
+        if key == "connect_ms" and invalid == 1.5:
             return
-        faults = parse_register(_bytes(document)).faults
+        faults = parse_register(_encode(document)).faults
         self.assertTrue(any(fault.place.startswith(place) for fault in faults), faults)
 
     @settings(derandomize=True, deadline=None, database=None)
     @given(registers(), st.data())
-    def test_missing_and_unknown_fields_are_named(self, document, data):
-        fields = [each for each in places(document) if isinstance(each[1], dict)]
-        place, holder, key = data.draw(st.sampled_from(fields))
-        holder[key + "x"] = holder.pop(key)
+    def test_missing_and_unknown_fields_are_reported(self, document, data):
+        fields = [item for item in values_with_places(document) if isinstance(item[1], dict)]
+        place, container, key = data.draw(st.sampled_from(fields))
+        container[key + "x"] = container.pop(key)
         expected = {(place + "x", "unknown-field"), (place, "missing-field")}
-        if key in OPTIONAL:
+        if key in OPTIONAL_FIELDS:
             expected.discard((place, "missing-field"))
-        self.assertLessEqual(expected, found(document))
+        self.assertLessEqual(expected, faults_in(document))
 
-    def test_leaving_may_be_left_out(self):
-        document = small()
+    def test_leaving_is_optional(self):
+        document = small_register()
         del document["upstreams"][0]["leaving"]
-        register = parse_register(_bytes(document)).value
+        register = parse_register(_encode(document)).value
         self.assertFalse(register.upstream("desk-0").leaving)
 
     def test_lookups(self):
-        register = parse_register(_bytes(small())).value
+        register = parse_register(_encode(small_register())).value
         self.assertEqual(register.system("desk").slots, 2)
         self.assertEqual(register.upstream("stores-1").port, 9011)
         self.assertEqual(register.collection("overhauls").shards[1].upstreams, ("desk-1",))
         self.assertEqual(register.action("order").system, "stores")
-        for look_up in (register.system, register.upstream, register.collection, register.action):
-            self.assertIsNone(look_up("none"))
+        for lookup in (register.system, register.upstream, register.collection, register.action):
+            self.assertIsNone(lookup("none"))
 
     def test_models_are_frozen_and_equal_by_value(self):
-        register = parse_register(_bytes(small())).value
-        self.assertEqual(register, parse_register(_bytes(small())).value)
-        self.assertEqual(hash(register), hash(parse_register(_bytes(small())).value))
+        register = parse_register(_encode(small_register())).value
+        self.assertEqual(register, parse_register(_encode(small_register())).value)
+        self.assertEqual(hash(register), hash(parse_register(_encode(small_register())).value))
         with self.assertRaises(dataclasses.FrozenInstanceError):
             register.revision = 2
 
-    def test_faults(self):
-        spoilt = (
+    def test_fault_codes_and_places(self):
+        cases = (
             ("revision", 0, "revision", "out-of-range"),
             ("revision", True, "revision", "wrong-type"),
             ("revision", 1.0, "revision", "wrong-type"),
@@ -177,31 +177,33 @@
             ("tenant", "a\n", "tenant", "bad-name"),
             ("tenant", "a" * 101, "tenant", "bad-name"),
         )
-        for path, value, place, code in spoilt:
+        for path, value, place, code in cases:
             with self.subTest(path=path, value=value):
-                self.assertIn((place, code), found(_with(small(), path, value)))
-
-    def test_one_fault_causes_no_reports_elsewhere(self):
-        document = _with(small(), "upstreams.0.port", 0)
-        self.assertEqual(found(document), {("upstreams[0].port", "out-of-range")})
-
-    def test_all_faults_at_once_in_order(self):
-        document = _with(small(), "revision", 0)
-        document = _with(document, "upstreams.3.ip", "x")
-        document = _with(document, "collections.0.shards.0.hi", 999)
-        checked = parse_register(_bytes(document))
+                self.assertIn(
+                    (place, code), faults_in(_replace_value(small_register(), path, value))
+                )
+
+    def test_one_fault_causes_no_other_reports(self):
+        document = _replace_value(small_register(), "upstreams.0.port", 0)
+        self.assertEqual(faults_in(document), {("upstreams[0].port", "out-of-range")})
+
+    def test_all_faults_are_reported_in_order(self):
+        document = _replace_value(small_register(), "revision", 0)
+        document = _replace_value(document, "upstreams.3.ip", "x")
+        document = _replace_value(document, "collections.0.shards.0.hi", 999)
+        checked = parse_register(_encode(document))
         expected = ["revision", "upstreams[3].ip", "collections[0].shards[1].lo"]
         self.assertEqual([fault.place for fault in checked.faults], expected)
 
 
-def _with(document, path, value):
-    """Copy a document with one value replaced."""
+def _replace_value(document, path, value):
+    """Return a copy of a document with one value replaced."""
     document = copy.deepcopy(document)
     *parents, last = [int(part) if part.isdigit() else part for part in path.split(".")]
-    holder = document
+    container = document
     for key in parents:
-        holder = holder[key]
-    holder[last] = value
+        container = container[key]
+    container[last] = value
     return document
 
 
