--- a/rhubarbhinge/cli/_files.py
+++ b/rhubarbhinge/cli/_files.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from rhubarbhinge.register import MOST_BYTES, Checked, Fault
+from rhubarbhinge.register import MAX_DOCUMENT_BYTES, Checked, Fault
 
 
 def check_file(path: str, parse: Callable[[bytes], Checked]) -> Checked:
@@ -16,7 +16,7 @@
     """
     try:
         with Path(path).open("rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_DOCUMENT_BYTES + 1)
     except (OSError, ValueError) as error:
         return Checked(None, (_unreadable(path, error),))
     checked = parse(data)
--- a/rhubarbhinge/register/__init__.py
+++ b/rhubarbhinge/register/__init__.py
@@ -17,7 +17,7 @@
     System,
     Upstream,
 )
-from rhubarbhinge.register._json import MOST_BYTES
+from rhubarbhinge.register._json import MAX_DOCUMENT_BYTES
 from rhubarbhinge.register._parse_register import parse_register
 from rhubarbhinge.register._parse_rules import cross_check, parse_rules
 from rhubarbhinge.register._parse_vms import parse_vms
@@ -26,7 +26,7 @@
 
 __all__ = [
     "KEY_SPACE",
-    "MOST_BYTES",
+    "MAX_DOCUMENT_BYTES",
     "MOST_COUNTED_FAULTS",
     "MOST_FAULTS",
     "Action",
--- a/rhubarbhinge/register/_json.py
+++ b/rhubarbhinge/register/_json.py
@@ -13,7 +13,7 @@
 
 from rhubarbhinge.register._faults import FaultLog
 
-MOST_BYTES = 1_000_000
+MAX_DOCUMENT_BYTES = 1_000_000
 """Maximum size of a document; the configuration service stores values of up to one megabyte."""
 
 MAX_DEPTH = 16
@@ -39,8 +39,8 @@
     :param log: Receives the faults.
     :returns: The parsed value; ``None`` after a fault.
     """
-    if len(data) > MOST_BYTES:
-        message = f"the document has {len(data)} bytes, more than {MOST_BYTES}"
+    if len(data) > MAX_DOCUMENT_BYTES:
+        message = f"the document has {len(data)} bytes, more than {MAX_DOCUMENT_BYTES}"
         log.add("", "too-large", message, "split or shorten the document")
         return None
     if _exceeds_max_depth(data):
--- a/rhubarbhinge/register/tests/test_json.py
+++ b/rhubarbhinge/register/tests/test_json.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.register import (
-    MOST_BYTES,
+    MAX_DOCUMENT_BYTES,
     MOST_COUNTED_FAULTS,
     MOST_FAULTS,
     _json,
@@ -67,7 +67,7 @@
         self.assertFalse(checked.ok)
 
     def test_size_and_depth_limits(self):
-        oversized = b" " * (MOST_BYTES + 1)
+        oversized = b" " * (MAX_DOCUMENT_BYTES + 1)
         self.assertEqual(places_and_codes(parse_register(oversized)), [("document", "too-large")])
         deep = b"[" * 17 + b"]" * 17
         self.assertEqual(places_and_codes(parse_register(deep)), [("document", "too-deep")])
