--- a/rhubarbhinge/register/__init__.py
+++ b/rhubarbhinge/register/__init__.py
@@ -5,7 +5,13 @@
 """
 
 from rhubarbhinge.register._document import to_document
-from rhubarbhinge.register._faults import MOST_COUNTED_FAULTS, MOST_FAULTS, Checked, Fault, FaultLog
+from rhubarbhinge.register._faults import (
+    MAX_LISTED_FAULTS,
+    MOST_COUNTED_FAULTS,
+    Checked,
+    Fault,
+    FaultLog,
+)
 from rhubarbhinge.register._inventory import (
     KEY_SPACE,
     Action,
@@ -28,7 +34,7 @@
     "KEY_SPACE",
     "MAX_DOCUMENT_BYTES",
     "MOST_COUNTED_FAULTS",
-    "MOST_FAULTS",
+    "MAX_LISTED_FAULTS",
     "Action",
     "Checked",
     "Collection",
--- a/rhubarbhinge/register/_faults.py
+++ b/rhubarbhinge/register/_faults.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-MOST_FAULTS = 100
+MAX_LISTED_FAULTS = 100
 """Maximum number of faults listed in one result; to keep reports short, others are only counted."""
 
 MOST_COUNTED_FAULTS = 1_000
@@ -40,7 +40,7 @@
     """The result of a check: the accepted value, or the faults found.
 
     :param value: The accepted value; ``None`` when there are faults.
-    :param faults: The first `MOST_FAULTS` faults, in the order of the documented fields.
+    :param faults: The first `MAX_LISTED_FAULTS` faults, in the order of the documented fields.
     :param more_faults: Number of further faults that are not listed; counting stops at
         `MOST_COUNTED_FAULTS` faults in total.
     """
@@ -56,7 +56,7 @@
 
 
 class FaultLog:
-    """Collects faults up to `MOST_FAULTS` and counts the rest.
+    """Collects faults up to `MAX_LISTED_FAULTS` and counts the rest.
 
     :param max_counted: Number of faults at which `add` raises; ``None`` for no limit.
     """
@@ -83,13 +83,13 @@
         self._count += 1
         if self._count == self._max_counted:
             raise TooManyFaults
-        if len(self._faults) < MOST_FAULTS:
+        if len(self._faults) < MAX_LISTED_FAULTS:
             self._faults.append(Fault(place or "document", code, message, todo))
 
     def faults(self) -> tuple[Fault, ...]:
         """Return the listed faults.
 
-        :returns: At most `MOST_FAULTS` faults.
+        :returns: At most `MAX_LISTED_FAULTS` faults.
         """
         return tuple(self._faults)
 
--- a/rhubarbhinge/register/tests/test_json.py
+++ b/rhubarbhinge/register/tests/test_json.py
@@ -8,8 +8,8 @@
 
 from rhubarbhinge.register import (
     MAX_DOCUMENT_BYTES,
+    MAX_LISTED_FAULTS,
     MOST_COUNTED_FAULTS,
-    MOST_FAULTS,
     _json,
     parse_register,
     parse_rules,
@@ -88,14 +88,14 @@
     def test_faults_are_bounded_and_counted(self):
         data = json.dumps({"revision": 1, "vms": [0] * 300}).encode()
         checked = parse_vms(data)
-        self.assertEqual(len(checked.faults), MOST_FAULTS)
-        self.assertEqual(checked.more_faults, 300 - MOST_FAULTS)
+        self.assertEqual(len(checked.faults), MAX_LISTED_FAULTS)
+        self.assertEqual(checked.more_faults, 300 - MAX_LISTED_FAULTS)
 
     def test_counting_stops_at_the_limit(self):
         data = json.dumps({"revision": 1, "vms": [0] * 3000}).encode()
         checked = parse_vms(data)
         self.assertIsNone(checked.value)
-        self.assertEqual(checked.more_faults, MOST_COUNTED_FAULTS - MOST_FAULTS)
+        self.assertEqual(checked.more_faults, MOST_COUNTED_FAULTS - MAX_LISTED_FAULTS)
 
     def test_messages_are_bounded_plain_text(self):
         hostile = "\n\x1b[31m\u202e" + "x" * 10_000
--- a/rhubarbhinge/register/tests/test_rules_and_vms.py
+++ b/rhubarbhinge/register/tests/test_rules_and_vms.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.register import (
-    MOST_FAULTS,
+    MAX_LISTED_FAULTS,
     Register,
     cross_check,
     parse_register,
@@ -113,7 +113,7 @@
         ]
         value = parse_rules(_encode(invalid)).value
         empty = Register(1, "kingston", (), (), (), (), (), (), ())
-        self.assertEqual(len(cross_check(empty, value)), MOST_FAULTS)
+        self.assertEqual(len(cross_check(empty, value)), MAX_LISTED_FAULTS)
 
 
 if __name__ == "__main__":
