--- a/rhubarbhinge/register/__init__.py
+++ b/rhubarbhinge/register/__init__.py
@@ -6,8 +6,8 @@
 
 from rhubarbhinge.register._document import to_document
 from rhubarbhinge.register._faults import (
+    MAX_COUNTED_FAULTS,
     MAX_LISTED_FAULTS,
-    MOST_COUNTED_FAULTS,
     Checked,
     Fault,
     FaultLog,
@@ -33,7 +33,7 @@
 __all__ = [
     "KEY_SPACE",
     "MAX_DOCUMENT_BYTES",
-    "MOST_COUNTED_FAULTS",
+    "MAX_COUNTED_FAULTS",
     "MAX_LISTED_FAULTS",
     "Action",
     "Checked",
--- a/rhubarbhinge/register/_check_document.py
+++ b/rhubarbhinge/register/_check_document.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from rhubarbhinge.register._faults import (
-    MOST_COUNTED_FAULTS,
+    MAX_COUNTED_FAULTS,
     Checked,
     FaultLog,
     TooManyFaults,
@@ -22,7 +22,7 @@
     :param check_across: Checks fields against each other; accepts parsed JSON of any shape.
     :returns: The model, or all faults found.
     """
-    log = FaultLog(MOST_COUNTED_FAULTS)
+    log = FaultLog(MAX_COUNTED_FAULTS)
     try:
         return log.verdict(_parse_and_check(data, parse, check_across, log))
     except TooManyFaults:
--- a/rhubarbhinge/register/_faults.py
+++ b/rhubarbhinge/register/_faults.py
@@ -6,14 +6,14 @@
 MAX_LISTED_FAULTS = 100
 """Maximum number of faults listed in one result; to keep reports short, others are only counted."""
 
-MOST_COUNTED_FAULTS = 1_000
+MAX_COUNTED_FAULTS = 1_000
 """Number of faults at which checking stops, so that an invalid document cannot block a process."""
 
 T = TypeVar("T")
 
 
 class TooManyFaults(Exception):
-    """Raised at `MOST_COUNTED_FAULTS` faults to stop checking; `check_document` catches it."""
+    """Raised at `MAX_COUNTED_FAULTS` faults to stop checking; `check_document` catches it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     :param value: The accepted value; ``None`` when there are faults.
     :param faults: The first `MAX_LISTED_FAULTS` faults, in the order of the documented fields.
     :param more_faults: Number of further faults that are not listed; counting stops at
-        `MOST_COUNTED_FAULTS` faults in total.
+        `MAX_COUNTED_FAULTS` faults in total.
     """
 
     value: T | None
--- a/rhubarbhinge/register/tests/test_json.py
+++ b/rhubarbhinge/register/tests/test_json.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from rhubarbhinge.register import (
+    MAX_COUNTED_FAULTS,
     MAX_DOCUMENT_BYTES,
     MAX_LISTED_FAULTS,
-    MOST_COUNTED_FAULTS,
     _json,
     parse_register,
     parse_rules,
@@ -95,7 +95,7 @@
         data = json.dumps({"revision": 1, "vms": [0] * 3000}).encode()
         checked = parse_vms(data)
         self.assertIsNone(checked.value)
-        self.assertEqual(checked.more_faults, MOST_COUNTED_FAULTS - MAX_LISTED_FAULTS)
+        self.assertEqual(checked.more_faults, MAX_COUNTED_FAULTS - MAX_LISTED_FAULTS)
 
     def test_messages_are_bounded_plain_text(self):
         hostile = "\n\x1b[31m\u202e" + "x" * 10_000
