--- a/rhubarbhinge/register/_fields.py
+++ b/rhubarbhinge/register/_fields.py
@@ -36,7 +36,7 @@
     return raw
 
 
-def whole(minimum: int, maximum: int) -> ValueParser:
+def integer(minimum: int, maximum: int) -> ValueParser:
     """Return a parser of integers.
 
     :param minimum: Smallest number accepted.
--- a/rhubarbhinge/register/_parse_register.py
+++ b/rhubarbhinge/register/_parse_register.py
@@ -36,15 +36,15 @@
 MAX_CONNECTIONS = 65_535
 MAX_CONNECT_MS = 60_000
 
-_revision_parser = fields.whole(1, MAX_REVISION)
-_port_parser = fields.whole(1, MAX_PORT)
+_revision_parser = fields.integer(1, MAX_REVISION)
+_port_parser = fields.integer(1, MAX_PORT)
 
 _system_parser = fields.record(
     System,
     {
         "name": fields.name,
-        "slots": fields.whole(1, MAX_SLOTS),
-        "connections": fields.whole(1, MAX_CONNECTIONS),
+        "slots": fields.integer(1, MAX_SLOTS),
+        "connections": fields.integer(1, MAX_CONNECTIONS),
         "connect_ms": fields.number(0, MAX_CONNECT_MS),
     },
 )
@@ -68,8 +68,8 @@
 _shard_parser = fields.record(
     Shard,
     {
-        "lo": fields.whole(0, KEY_SPACE - 1),
-        "hi": fields.whole(1, KEY_SPACE),
+        "lo": fields.integer(0, KEY_SPACE - 1),
+        "hi": fields.integer(1, KEY_SPACE),
         "upstreams": fields.array(fields.name, 1, MAX_REPLICAS),
     },
 )
--- a/rhubarbhinge/register/_parse_rules.py
+++ b/rhubarbhinge/register/_parse_rules.py
@@ -22,9 +22,9 @@
     TrafficClass,
     {
         "name": fields.name,
-        "weight": fields.whole(1, MAX_WEIGHT),
+        "weight": fields.integer(1, MAX_WEIGHT),
         "prefers": fields.choice("latency", "coverage"),
-        "deadline_ms": fields.whole(1, MAX_DEADLINE_MS),
+        "deadline_ms": fields.integer(1, MAX_DEADLINE_MS),
         "least_coverage": fields.number(0, 1),
         "extra_load": fields.number(0, 1),
         "hedge_quantile": fields.number(MIN_HEDGE_QUANTILE, MAX_HEDGE_QUANTILE),
@@ -35,11 +35,11 @@
     {"collection": fields.name, "class": fields.name},
     argument_names={"class": "traffic_class"},
 )
-_limits_parser = fields.record(Limits, {"in_flight": fields.whole(1, MAX_IN_FLIGHT)})
+_limits_parser = fields.record(Limits, {"in_flight": fields.integer(1, MAX_IN_FLIGHT)})
 _rules_parser = fields.record(
     Rules,
     {
-        "revision": fields.whole(1, MAX_REVISION),
+        "revision": fields.integer(1, MAX_REVISION),
         "classes": fields.array(_class_parser, 1, MAX_CLASSES),
         "default_class": fields.name,
         "routes": fields.array(_route_parser, 0, MAX_COLLECTIONS),
--- a/rhubarbhinge/register/_parse_vms.py
+++ b/rhubarbhinge/register/_parse_vms.py
@@ -16,8 +16,8 @@
     Node,
     {
         "role": fields.choice("entry", "relay"),
-        "peer_port": fields.whole(1, MAX_PORT),
-        "http_port": fields.whole(1, MAX_PORT),
+        "peer_port": fields.integer(1, MAX_PORT),
+        "http_port": fields.integer(1, MAX_PORT),
     },
 )
 _vm_parser = fields.record(
@@ -33,7 +33,7 @@
 _vms_parser = fields.record(
     VmList,
     {
-        "revision": fields.whole(1, MAX_REVISION),
+        "revision": fields.integer(1, MAX_REVISION),
         "vms": fields.array(_vm_parser, 0, MAX_VMS),
     },
 )
--- a/rhubarbhinge/settings/_value_parsers.py
+++ b/rhubarbhinge/settings/_value_parsers.py
@@ -32,7 +32,7 @@
     :param maximum: Largest number accepted.
     :returns: The parser.
     """
-    parse_number = fields.whole(minimum, maximum)
+    parse_number = fields.integer(minimum, maximum)
 
     def parse(log: FaultLog, place: str, text: str) -> int | None:
         if not _DIGITS.fullmatch(text):
