--- a/rhubarbhinge/register/_fields.py
+++ b/rhubarbhinge/register/_fields.py
@@ -97,7 +97,7 @@
     return parse
 
 
-def ip_number(log: FaultLog, place: str, raw: object) -> str | None:
+def ip_address(log: FaultLog, place: str, raw: object) -> str | None:
     """Parse a numeric IP address of a single host; multicast and unspecified are refused."""
     if not isinstance(raw, str):
         return _report_wrong_type(log, place, raw, "an IP address")
--- a/rhubarbhinge/register/_parse_register.py
+++ b/rhubarbhinge/register/_parse_register.py
@@ -55,7 +55,7 @@
         "system": fields.name,
         "instance": fields.name,
         "failure_domain": fields.name,
-        "ip": fields.ip_number,
+        "ip": fields.ip_address,
         "port": _port_parser,
         "leaving": fields.boolean,
     },
--- a/rhubarbhinge/register/_parse_vms.py
+++ b/rhubarbhinge/register/_parse_vms.py
@@ -25,7 +25,7 @@
     {
         "name": fields.name,
         "failure_domain": fields.name,
-        "ip": fields.ip_number,
+        "ip": fields.ip_address,
         "state": fields.choice("live", "leaving"),
         "nodes": fields.array(_node_parser, 0, MAX_NODES),
     },
--- a/rhubarbhinge/settings/_setting.py
+++ b/rhubarbhinge/settings/_setting.py
@@ -58,7 +58,7 @@
 SETTINGS: tuple[Setting, ...] = (
     Setting("name", fields.name, "name of this VM in the platform's list", required=True),
     Setting("failure_domain", fields.name, "failure domain of this VM", required=True),
-    Setting("ip", fields.ip_number, "IP number that callers and other nodes use", required=True),
+    Setting("ip", fields.ip_address, "IP number that callers and other nodes use", required=True),
     Setting(
         "peer_port",
         parsers.integer(1, parsers.MAX_PORT),
--- a/rhubarbhinge/settings/_value_parsers.py
+++ b/rhubarbhinge/settings/_value_parsers.py
@@ -127,5 +127,5 @@
         return False
     faults = FaultLog()
     integer(1, MAX_PORT)(faults, "", port)
-    fields.ip_number(faults, "", ip)
+    fields.ip_address(faults, "", ip)
     return faults.count == 0
