--- a/rhubarbhinge/register/_fields.py
+++ b/rhubarbhinge/register/_fields.py
@@ -30,7 +30,7 @@
     if not isinstance(raw, str):
         return _report_wrong_type(log, place, raw, "a string")
     if len(raw) > MAX_NAME_LENGTH or not _NAME_PATTERN.fullmatch(raw):
-        message = f"{shown(raw)} is not a name"
+        message = f"{format_value(raw)} is not a name"
         todo = f"use 1 to {MAX_NAME_LENGTH} of A-Z a-z 0-9 . _ - and start with a letter or digit"
         return log.add(place, "bad-name", message, todo)
     return raw
@@ -91,7 +91,9 @@
         if not isinstance(raw, str):
             return _report_wrong_type(log, place, raw, listed)
         if raw not in options:
-            return log.add(place, "unknown-choice", f"{shown(raw)} is unknown", f"write {listed}")
+            return log.add(
+                place, "unknown-choice", f"{format_value(raw)} is unknown", f"write {listed}"
+            )
         return raw
 
     return parse
@@ -103,7 +105,7 @@
         return _report_wrong_type(log, place, raw, "an IP address")
     address = _parse_ip_address(raw)
     if address is None or address.is_multicast or address.is_unspecified:
-        message = f"{shown(raw)} is not the IP address of a host"
+        message = f"{format_value(raw)} is not the IP address of a host"
         todo = "write a numeric address, such as 10.0.0.7; host names are not resolved"
         return log.add(place, "bad-ip", message, todo)
     return raw
@@ -163,7 +165,7 @@
     return parse
 
 
-def shown(raw: object) -> str:
+def format_value(raw: object) -> str:
     """Format a raw value for a message, in bounded length and plain ASCII.
 
     :param raw: The value.
@@ -199,11 +201,11 @@
 
 
 def _report_wrong_type(log: FaultLog, place: str, raw: object, expected: str) -> None:
-    log.add(place, "wrong-type", f"{shown(raw)} is not {expected}", f"write {expected}")
+    log.add(place, "wrong-type", f"{format_value(raw)} is not {expected}", f"write {expected}")
 
 
 def _report_out_of_range(
     log: FaultLog, place: str, raw: float, minimum: float, maximum: float
 ) -> None:
-    message = f"{shown(raw)} is out of range"
+    message = f"{format_value(raw)} is out of range"
     log.add(place, "out-of-range", message, f"write a number from {minimum} to {maximum}")
--- a/rhubarbhinge/register/_lenient.py
+++ b/rhubarbhinge/register/_lenient.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Iterator
 
 from rhubarbhinge.register._faults import FaultLog
-from rhubarbhinge.register._fields import shown
+from rhubarbhinge.register._fields import format_value
 
 PlacedString = tuple[str, str]
 """Place and string."""
@@ -87,7 +87,7 @@
     first_places: dict[str, str] = {}
     for place, value in placed:
         if value in first_places:
-            message = f"{label} {shown(value)} is already used at {first_places[value]}"
+            message = f"{label} {format_value(value)} is already used at {first_places[value]}"
             log.add(place, "duplicate-name", message, "keep one, or give it another name")
         first_places.setdefault(value, place)
 
@@ -105,7 +105,7 @@
     """
     for place, value in placed:
         if value not in known:
-            message = f"there is no {kind} {shown(value)}"
+            message = f"there is no {kind} {format_value(value)}"
             log.add(place, "unknown-name", message, f"correct it, or add it to {defined_in}")
 
 
--- a/rhubarbhinge/register/_parse_vms.py
+++ b/rhubarbhinge/register/_parse_vms.py
@@ -4,7 +4,7 @@
 from rhubarbhinge.register import _lenient as lenient
 from rhubarbhinge.register._check_document import check_document
 from rhubarbhinge.register._faults import Checked, FaultLog
-from rhubarbhinge.register._fields import shown
+from rhubarbhinge.register._fields import format_value
 from rhubarbhinge.register._parse_register import MAX_PORT, MAX_REVISION
 from rhubarbhinge.register._vms import Node, Vm, VmList
 
@@ -73,6 +73,6 @@
     if not isinstance(ip, str) or type(port) is not int:
         return
     if (ip, port) in first_places:
-        message = f"{shown(ip)} port {port} is already used at {first_places[ip, port]}"
+        message = f"{format_value(ip)} port {port} is already used at {first_places[ip, port]}"
         log.add(place, "duplicate-address", message, "correct the ip or the port")
     first_places.setdefault((ip, port), place)
--- a/rhubarbhinge/register/_register_checks.py
+++ b/rhubarbhinge/register/_register_checks.py
@@ -4,7 +4,7 @@
 
 from rhubarbhinge.register import _lenient as lenient
 from rhubarbhinge.register._faults import FaultLog
-from rhubarbhinge.register._fields import shown
+from rhubarbhinge.register._fields import format_value
 from rhubarbhinge.register._inventory import KEY_SPACE
 
 
@@ -69,7 +69,7 @@
         if not isinstance(ip, str) or type(port) is not int:
             continue
         if (ip, port) in first_places:
-            message = f"{shown(ip)} port {port} is already used at {first_places[ip, port]}"
+            message = f"{format_value(ip)} port {port} is already used at {first_places[ip, port]}"
             log.add(f"{place}.port", "duplicate-address", message, "correct the ip or the port")
         first_places.setdefault((ip, port), place)
 
@@ -82,7 +82,9 @@
             continue
         first_domain = domains.setdefault(instance, domain)
         if first_domain != domain:
-            message = f"the instance {shown(instance)} is also in {shown(first_domain)}"
+            message = (
+                f"the instance {format_value(instance)} is also in {format_value(first_domain)}"
+            )
             todo = "give all upstreams of an instance the same failure domain"
             log.add(f"{place}.failure_domain", "split-instance", message, todo)
 
@@ -122,8 +124,11 @@
     for upstream_place, upstream_name in listed:
         system = upstreams.get(upstream_name, {}).get("system", owner.get("system"))
         if system != owner.get("system"):
-            message = f"the upstream {shown(upstream_name)} belongs to the system {shown(system)}"
-            todo = f"list upstreams of {shown(owner.get('system'))}"
+            message = (
+                f"the upstream {format_value(upstream_name)} "
+                f"belongs to the system {format_value(system)}"
+            )
+            todo = f"list upstreams of {format_value(owner.get('system'))}"
             log.add(upstream_place, "wrong-system", message, todo)
 
 
@@ -143,13 +148,15 @@
 
 def _check_range(log: FaultLog, shard_place: str, lo: int, hi: int, covered_to: int) -> None:
     if lo >= hi:
-        message = f"the range {shown(lo)} to {shown(hi)} is empty"
+        message = f"the range {format_value(lo)} to {format_value(hi)} is empty"
         log.add(f"{shard_place}.lo", "empty-range", message, "make lo less than hi")
     elif lo > covered_to:
-        message = f"no shard covers {covered_to} to {shown(lo)}"
+        message = f"no shard covers {covered_to} to {format_value(lo)}"
         todo = "list shards in ascending order, each starting where the previous one ends"
         log.add(f"{shard_place}.lo", "gap", message, todo)
     elif lo < covered_to:
-        message = f"the range starts at {shown(lo)}, before the previous one ends at {covered_to}"
+        message = (
+            f"the range starts at {format_value(lo)}, before the previous one ends at {covered_to}"
+        )
         todo = "list shards in ascending order, each starting where the previous one ends"
         log.add(f"{shard_place}.lo", "overlap", message, todo)
--- a/rhubarbhinge/register/fields.py
+++ b/rhubarbhinge/register/fields.py
@@ -1,5 +1,5 @@
 """Parsers of single values, for other documents and settings that need the same checks."""
 
-from rhubarbhinge.register._fields import integer, ip_address, name, shown
+from rhubarbhinge.register._fields import format_value, integer, ip_address, name
 
-__all__ = ["integer", "ip_address", "name", "shown"]
+__all__ = ["format_value", "integer", "ip_address", "name"]
--- a/rhubarbhinge/settings/_load.py
+++ b/rhubarbhinge/settings/_load.py
@@ -55,11 +55,11 @@
 
 def _report_unknown(log: FaultLog, flags: Mapping[str, object], environ: Mapping) -> None:
     for name in sorted(flags.keys() - _KNOWN_FLAGS):
-        place = "--" + fields.shown(name.replace("_", "-")).strip("'\"")
+        place = "--" + fields.format_value(name.replace("_", "-")).strip("'\"")
         log.add(place, "unknown-flag", "the flag is unknown", "see docs/settings.md")
     for name in sorted(environ.keys() - _KNOWN_VARIABLES):
         if name.startswith(ENVIRONMENT_PREFIX):
-            place = fields.shown(name).strip("'\"")
+            place = fields.format_value(name).strip("'\"")
             message = "the environment variable is unknown"
             log.add(place, "unknown-variable", message, "unset it, or see docs/settings.md")
 
--- a/rhubarbhinge/settings/_value_parsers.py
+++ b/rhubarbhinge/settings/_value_parsers.py
@@ -36,7 +36,7 @@
 
     def parse(log: FaultLog, place: str, text: str) -> int | None:
         if not _DIGITS.fullmatch(text):
-            message = f"{fields.shown(text)} isn't a whole number"
+            message = f"{fields.format_value(text)} isn't a whole number"
             log.add(place, "wrong-type", message, f"write a number from {minimum} to {maximum}")
             return None
         return parse_number(log, place, int(text))
@@ -55,7 +55,7 @@
         if text in choices:
             return text
         todo = "write " + " or ".join(choices)
-        log.add(place, "unknown-choice", f"{fields.shown(text)} is unknown", todo)
+        log.add(place, "unknown-choice", f"{fields.format_value(text)} is unknown", todo)
         return None
 
     return parse
@@ -73,7 +73,7 @@
         invalid = [part for part in parts if part not in allowed]
         for part in invalid:
             todo = "write any of " + ", ".join(allowed)
-            log.add(place, "unknown-choice", f"{fields.shown(part)} is unknown", todo)
+            log.add(place, "unknown-choice", f"{fields.format_value(part)} is unknown", todo)
         return None if invalid else tuple(parts)
 
     return parse
@@ -95,7 +95,7 @@
             return None
         invalid = [part for part in parts if not is_address(part)]
         for part in invalid:
-            message = f"{fields.shown(part)} isn't ip:port"
+            message = f"{fields.format_value(part)} isn't ip:port"
             todo = "write the IP number and the port, such as 10.0.0.7:7001 or [fd00::7]:7001"
             log.add(place, "bad-address", message, todo)
         return None if invalid else tuple(parts)
