--- a/rhubarbhinge/register/_check_document.py
+++ b/rhubarbhinge/register/_check_document.py
@@ -24,9 +24,9 @@
     """
     log = FaultLog(MAX_COUNTED_FAULTS)
     try:
-        return log.verdict(_parse_and_check(data, parse, check_across, log))
+        return log.result(_parse_and_check(data, parse, check_across, log))
     except TooManyFaults:
-        return log.verdict(None)
+        return log.result(None)
 
 
 def _parse_and_check(
--- a/rhubarbhinge/register/_faults.py
+++ b/rhubarbhinge/register/_faults.py
@@ -93,7 +93,7 @@
         """
         return tuple(self._faults)
 
-    def verdict(self, value: T | None) -> Checked[T]:
+    def result(self, value: T | None) -> Checked[T]:
         """Return the result of the check.
 
         :param value: The value to accept if no fault was found; ``None`` if there is none.
--- a/rhubarbhinge/settings/_load.py
+++ b/rhubarbhinge/settings/_load.py
@@ -47,10 +47,10 @@
         if value is not None:
             values[setting.name] = value
     if log.count:
-        return log.verdict(None)
+        return log.result(None)
     settings = NodeSettings(**values)
     _check_consistency(log, settings)
-    return log.verdict(settings)
+    return log.result(settings)
 
 
 def _report_unknown(log: FaultLog, flags: Mapping[str, object], environ: Mapping) -> None:
