--- a/rhubarbhinge/register/_rules.py
+++ b/rhubarbhinge/register/_rules.py
@@ -87,16 +87,16 @@
         """
         return self._classes.get(name)
 
-    def class_for(self, collection: str, asked: str | None = None) -> TrafficClass:
+    def class_for(self, collection: str, requested: str | None = None) -> TrafficClass:
         """Choose the class of a query.
 
         :param collection: Name of the collection.
-        :param asked: Name of the class that the caller requested. An unknown name is ignored; to
+        :param requested: Name of the class that the caller requests. An unknown name is ignored; to
             refuse it, look it up with `traffic_class` first.
         :returns: The requested class, else the collection's, else the default class.
         """
-        if asked is not None and asked in self._classes:
-            return self._classes[asked]
+        if requested is not None and requested in self._classes:
+            return self._classes[requested]
         return self._classes[self._routes.get(collection, self.default_class)]
 
     def repeatable(self, action: str) -> bool:
