--- a/rhubarbhinge/register/_parse_vms.py
+++ b/rhubarbhinge/register/_parse_vms.py
@@ -74,5 +74,5 @@
         return
     if (ip, port) in first_places:
         message = f"{format_value(ip)} port {port} is already used at {first_places[ip, port]}"
-        log.add(place, "duplicate-address", message, "correct the ip or the port")
+        log.add(place, "duplicate-address", message, "correct the IP address or the port")
     first_places.setdefault((ip, port), place)
--- a/rhubarbhinge/register/_register_checks.py
+++ b/rhubarbhinge/register/_register_checks.py
@@ -70,7 +70,9 @@
             continue
         if (ip, port) in first_places:
             message = f"{format_value(ip)} port {port} is already used at {first_places[ip, port]}"
-            log.add(f"{place}.port", "duplicate-address", message, "correct the ip or the port")
+            log.add(
+                f"{place}.port", "duplicate-address", message, "correct the IP address or the port"
+            )
         first_places.setdefault((ip, port), place)
 
 
