--- a/rhubarbhinge/register/__init__.py
+++ b/rhubarbhinge/register/__init__.py
@@ -1,11 +1,17 @@
-"""The operators' documents, checked into frozen models.
+"""Parsing and validation of the operators' documents into immutable models.
 
-Parsers are pure: the same bytes get the same verdict, with the same faults in the same order, on
-every node.
+Parsers are pure functions: the same bytes give the same result on every node, with the same faults
+in the same order.
 """
 
 from rhubarbhinge.register._document import to_document
-from rhubarbhinge.register._faults import MOST_COUNTED_FAULTS, MOST_FAULTS, Checked, Fault, FaultLog
+from rhubarbhinge.register._faults import (
+    MAX_COUNTED_FAULTS,
+    MAX_LISTED_FAULTS,
+    Checked,
+    Fault,
+    FaultLog,
+)
 from rhubarbhinge.register._inventory import (
     KEY_SPACE,
     Action,
@@ -17,7 +23,7 @@
     System,
     Upstream,
 )
-from rhubarbhinge.register._json import MOST_BYTES
+from rhubarbhinge.register._json import MAX_DOCUMENT_BYTES
 from rhubarbhinge.register._parse_register import parse_register
 from rhubarbhinge.register._parse_rules import cross_check, parse_rules
 from rhubarbhinge.register._parse_vms import parse_vms
@@ -26,9 +32,9 @@
 
 __all__ = [
     "KEY_SPACE",
-    "MOST_BYTES",
-    "MOST_COUNTED_FAULTS",
-    "MOST_FAULTS",
+    "MAX_DOCUMENT_BYTES",
+    "MAX_COUNTED_FAULTS",
+    "MAX_LISTED_FAULTS",
     "Action",
     "Checked",
     "Collection",
--- a/rhubarbhinge/settings/_load.py
+++ b/rhubarbhinge/settings/_load.py
@@ -47,19 +47,19 @@
         if value is not None:
             values[setting.name] = value
     if log.count:
-        return log.verdict(None)
+        return log.result(None)
     settings = NodeSettings(**values)
     _check_consistency(log, settings)
-    return log.verdict(settings)
+    return log.result(settings)
 
 
 def _report_unknown(log: FaultLog, flags: Mapping[str, object], environ: Mapping) -> None:
     for name in sorted(flags.keys() - _KNOWN_FLAGS):
-        place = "--" + fields.shown(name.replace("_", "-")).strip("'\"")
+        place = "--" + fields.format_value(name.replace("_", "-")).strip("'\"")
         log.add(place, "unknown-flag", "the flag is unknown", "see docs/settings.md")
     for name in sorted(environ.keys() - _KNOWN_VARIABLES):
         if name.startswith(ENVIRONMENT_PREFIX):
-            place = fields.shown(name).strip("'\"")
+            place = fields.format_value(name).strip("'\"")
             message = "the environment variable is unknown"
             log.add(place, "unknown-variable", message, "unset it, or see docs/settings.md")
 
