--- a/rhubarbhinge/routing/__init__.py
+++ b/rhubarbhinge/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Searcher queues, slots, connections and drain: the decisions of the relay."""
+"""Relay logic for searcher queues, slots, connections and draining."""
 
 from rhubarbhinge.routing._cancelupstream import CancelUpstream
 from rhubarbhinge.routing._cells import CellTable, cells
--- a/rhubarbhinge/routing/_answerreading.py
+++ b/rhubarbhinge/routing/_answerreading.py
@@ -1,4 +1,4 @@
-"""Ends requests by their searcher's answers, and learns from these."""
+"""Handling of searcher responses: ends the request and updates the searcher's state."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 from rhubarbhinge.wire import SubCode
 
 _SENT = Job.SENT
-#: Plain numbers: comparing members of an IntEnum costs several times as much.
+#: Plain integers, since comparing IntEnum members is several times slower.
 _ANSWERED = int(SubCode.ANSWERED)
 _SHED = int(SubCode.SHED)
 _BROKEN = int(SubCode.BROKEN)
@@ -27,16 +27,16 @@
     now_ms: int,
     effects: list[Any],
 ) -> bool:
-    """Read the answer to a search; a late one is only learned from.
+    """Handle the response to a search; a late one only updates the searcher's state.
 
-    :param table: where the request is forgotten.
+    :param table: request table; the request is removed from it.
     :param job: the sub-query.
-    :param connection: the connection; retired when the answer was broken.
-    :param status: HTTP status.
-    :param body: the answer's body.
-    :param now_ms: the time.
-    :param effects: where effects are put.
-    :returns: whether it leaves as it is how many requests the searcher gets.
+    :param connection: the connection; retired if the response is invalid.
+    :param status: HTTP status code.
+    :param body: response body.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
+    :returns: whether the response leaves the searcher's concurrency limit unchanged.
     """
     upstream = job.upstream
     code, retry_after_ms = search_outcome(status, job.call, body)
@@ -68,16 +68,16 @@
     now_ms: int,
     effects: list[Any],
 ) -> bool:
-    """Read the answer to a run.
+    """Handle the response to a run.
 
-    :param table: where the request is forgotten.
+    :param table: request table; the request is removed from it.
     :param job: the run.
-    :param connection: the connection; retired when the answer proves nothing.
-    :param status: HTTP status.
-    :param body: the answer's body.
-    :param now_ms: the time.
-    :param effects: where effects are put.
-    :returns: whether it leaves as it is how many requests the searcher gets.
+    :param connection: the connection; retired if the response is inconclusive.
+    :param status: HTTP status code.
+    :param body: response body.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
+    :returns: whether the response leaves the searcher's concurrency limit unchanged.
     """
     kind, retry_after_ms = run_outcome(status, job.key, body)
     if kind is RunKind.REFUSED_NOT_RUN:
--- a/rhubarbhinge/routing/_answers.py
+++ b/rhubarbhinge/routing/_answers.py
@@ -1,4 +1,4 @@
-"""What a searcher's HTTP answer means."""
+"""Interpretation of a searcher's HTTP responses."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 from rhubarbhinge.routing._runkind import RunKind
 from rhubarbhinge.wire import SubCode
 
-#: Plain numbers: reading members of an enumeration costs several times as much.
+#: Plain integers, since access to enumeration members is several times slower.
 _ANSWERED = int(SubCode.ANSWERED)
 _SHED = int(SubCode.SHED)
 _DRAINING = int(SubCode.DRAINING)
@@ -17,16 +17,16 @@
     "version-gone": int(SubCode.VERSION_GONE),
     "range-moved": int(SubCode.RANGE_MOVED),
 }
-#: Longest retry-after that is believed.
+#: Upper bound on a searcher's retry-after; larger values are clamped to it.
 MOST_RETRY_AFTER_MS = 60_000
 
 
 def search_outcome(status: int, call: bytes, body: bytes) -> tuple[int, int]:
-    """Read the answer to a search.
+    """Interpret the response to a search.
 
-    :param status: HTTP status.
-    :param call: the call that the request carried.
-    :param body: the answer's body.
+    :param status: HTTP status code.
+    :param call: call identifier that the request carried.
+    :param body: response body.
     :returns: a :class:`rhubarbhinge.wire.SubCode` value and the retry-after in ms.
     """
     if status == 200 and body.startswith(b'{"call":"' + call + b'"') and body.endswith(b"}"):
@@ -47,11 +47,11 @@
 
 
 def run_outcome(status: int, ticket: str, body: bytes) -> tuple[RunKind, int]:
-    """Read the answer to a run; what proves nothing is unknown.
+    """Interpret the response to a run; an inconclusive one gives an unknown outcome.
 
-    :param status: HTTP status.
+    :param status: HTTP status code.
     :param ticket: the run's ticket.
-    :param body: the answer's body.
+    :param body: response body.
     :returns: the outcome and the retry-after in ms.
     """
     doc = _object(body)
@@ -68,7 +68,7 @@
     """Read a refusal's retry-after.
 
     :param doc: the refusal.
-    :returns: the time in ms, 0 when it is missing or malformed.
+    :returns: time in ms, 0 if it is missing or malformed.
     """
     value = doc.get("retry_after_ms")
     if type(value) is not int:
@@ -77,10 +77,10 @@
 
 
 def says_draining(status: int, body: bytes) -> bool:
-    """Tell whether a refusal says that the searcher leaves.
+    """Return whether a refusal reports that the searcher is draining.
 
-    :param status: HTTP status.
-    :param body: the answer's body.
+    :param status: HTTP status code.
+    :param body: response body.
     :returns: True for 503 with the code ``draining``.
     """
     if status != 503:
--- a/rhubarbhinge/routing/_cancelupstream.py
+++ b/rhubarbhinge/routing/_cancelupstream.py
@@ -8,8 +8,8 @@
     """Send ``POST /cancel`` on the searcher's control connection, at most once.
 
     :param upstream_id: the searcher.
-    :param call: the call as the searcher knows it.
-    :param ip: the searcher's IP number.
+    :param call: call identifier sent to the searcher.
+    :param ip: the searcher's IP address.
     :param port: its port.
     """
 
--- a/rhubarbhinge/routing/_cells.py
+++ b/rhubarbhinge/routing/_cells.py
@@ -1,7 +1,7 @@
-"""Which few relays of a failure domain own the searchers of a system.
+"""Assignment of each system's searchers to a small cell of relays in a failure domain.
 
-A query asks many searchers of one system. Spread over all relays of a large failure domain, each of
-its sub-queries would be a message of its own; kept to a cell of few relays, they share messages.
+A query is sent to many searchers of one system. With searchers spread over all relays of a large
+failure domain, each sub-query would need its own message; a small cell lets them share messages.
 """
 
 import heapq
@@ -12,9 +12,9 @@
 
 from rhubarbhinge.routing._ownership import owners, rendezvous
 
-#: Relays of a cell besides those that the searchers' number asks for: one is lost now and then.
+#: Minimum size of a cell, so that the loss of one relay leaves another.
 _LEAST_CELL = 2
-#: A relay takes at most this many times its even share of searchers. 1.25 is the usual bound of
+#: Maximum load of a relay, as a multiple of its even share of searchers. 1.25 is the usual bound of
 #: consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018).
 _LOAD_BOUND = 1.25
 
@@ -22,11 +22,12 @@
 
 
 def cells(searchers_by_system: Mapping[str, int], relays: Sequence[str]) -> Cells:
-    """Give each system a cell of relays.
+    """Assign a cell of relays to each system.
 
-    Systems take turns by name; each takes the relays that rank highest for it by rendezvous hashing
-    and still have room. The result follows from the arguments alone, so that all nodes that see the
-    same members agree without a word. A relay's loss moves its own cells and few others.
+    Systems are processed in order of name; each gets the relays that rank highest for it by
+    rendezvous hashing and are below the load bound. The result depends on the arguments only, so
+    nodes with the same members agree without communication. Losing a relay changes its own
+    cells and few others.
 
     :param searchers_by_system: number of searchers of each system in the failure domain.
     :param relays: names of the live relays of the failure domain.
@@ -72,9 +73,9 @@
 
 
 class CellTable:
-    """Owners of searchers under one register and one version of the membership.
+    """Owners of searchers for one register and one version of the membership.
 
-    Owners are found when they are first asked for.
+    Owners are computed on first access.
 
     :param searchers_by_system: number of searchers of each system in the failure domain.
     :param relays: names of the live relays of the failure domain.
@@ -85,11 +86,11 @@
         self._owners: dict[str, str | None] = {}
 
     def owner(self, system: str, upstream_name: str) -> str | None:
-        """Give a searcher's owner.
+        """Return a searcher's owner.
 
         :param system: the searcher's system.
         :param upstream_name: its name in the register.
-        :returns: the relay, None when there is none.
+        :returns: name of the relay, or None if there is none.
         """
         if upstream_name not in self._owners:
             self._owners[upstream_name] = owners(upstream_name, self._cells[system])[0]
--- a/rhubarbhinge/routing/_closeconnection.py
+++ b/rhubarbhinge/routing/_closeconnection.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Close a connection; the shell answers with ``on_connection_closed`` once it is closed.
+    """Close a connection; the shell calls ``on_connection_closed`` once it is closed.
 
     :param conn: the connection.
     """
--- a/rhubarbhinge/routing/_concurrency.py
+++ b/rhubarbhinge/routing/_concurrency.py
@@ -1,25 +1,25 @@
-"""How many requests a searcher gets at once: ramp when cold, back-off when it sheds."""
+"""Concurrency limit of a searcher: slow start when cold, back-off when it sheds."""
 
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 
-#: Doublings of the pause before its bound applies at the latest.
+#: Maximum doublings of the pause; the pause cap applies by then.
 MOST_DOUBLINGS = 10
-#: Steps in which the limit rises from none to all slots.
+#: Number of additive increases that raise the limit from zero to all slots.
 RAISE_STEPS = 4
 
 
 class ConcurrencyLimit:
-    """A limit between one and all slots.
+    """Limit on concurrent requests, between one and all slots, or zero during a pause.
 
-    A cold searcher starts at one and rises to all slots within ``ramp_ms``. A shed answer halves
+    A cold searcher starts at one and rises to all slots within ``ramp_ms``. A shed response halves
     the limit (multiplicative decrease); each ``shed_raise_ms`` it rises by a quarter of the slots
     (additive increase; Chiu and Jain, Analysis of the Increase and Decrease Algorithms for
-    Congestion Avoidance in Computer Networks, 1989). Shed answers at a limit of one pause the
+    Congestion Avoidance in Computer Networks, 1989). Shed responses at a limit of one pause the
     searcher, twice as long each time.
 
-    :param slots: the most.
-    :param policy: settings.
-    :param now_ms: when the ramp starts.
+    :param slots: maximum limit.
+    :param policy: relay settings.
+    :param now_ms: start of the ramp, in ms.
     """
 
     def __init__(self, slots: int, policy: RelayPolicy, now_ms: int) -> None:
@@ -34,18 +34,18 @@
         self.paused_until_ms = now_ms
 
     def resize(self, slots: int) -> None:
-        """Take a new number of slots.
+        """Set a new number of slots.
 
-        :param slots: the most.
+        :param slots: maximum limit.
         """
         backed_off = self._ceiling < self._slots
         self._ceiling = min(self._ceiling, slots) if backed_off else slots
         self._slots = slots
 
     def restart(self, now_ms: int) -> None:
-        """Start the ramp anew, for a searcher that has just started.
+        """Restart the ramp, for a searcher that has just started or recovered.
 
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         """
         self._ramp_start_ms = now_ms
         self._warming_since_ms = None
@@ -54,10 +54,10 @@
         self.paused_until_ms = now_ms
 
     def set_warming(self, warming: bool, now_ms: int) -> None:
-        """Note whether the searcher says that it is warming; the ramp starts when it ends.
+        """Record whether the searcher reports that it is warming; the ramp starts when it ends.
 
-        :param warming: what it says.
-        :param now_ms: the time.
+        :param warming: whether its reported state is warming.
+        :param now_ms: current time in ms.
         """
         if not warming:
             if self._warming_since_ms is not None:
@@ -67,19 +67,19 @@
             self._warming_since_ms = now_ms
 
     def is_cold(self, now_ms: int) -> bool:
-        """Tell whether the searcher gets fewer requests for being cold.
+        """Return whether the limit is reduced because the searcher is cold.
 
-        :param now_ms: the time.
-        :returns: True while it warms and while the ramp runs.
+        :param now_ms: current time in ms.
+        :returns: True during warming and during the ramp.
         """
         return self._is_warming(now_ms) or now_ms - self._ramp_start_ms < self._policy.ramp_ms
 
     def on_shed(self, retry_after_ms: int, sent_ms: int, now_ms: int) -> None:
-        """Lower the limit after a shed answer, once for all that was sent before it was lowered.
+        """Lower the limit after a shed response, once for all requests sent before the reduction.
 
-        :param retry_after_ms: what the searcher asked for.
-        :param sent_ms: when the request was sent that was shed.
-        :param now_ms: the time.
+        :param retry_after_ms: retry-after that the searcher requested.
+        :param sent_ms: time at which the shed request was sent.
+        :param now_ms: current time in ms.
         """
         if sent_ms < self._lowered_ms:
             return
@@ -91,14 +91,14 @@
             self._pause(retry_after_ms, now_ms)
 
     def on_success(self) -> None:
-        """Note an answer: the next pause is a short one again."""
+        """Record a successful response, which resets the pause to its minimum."""
         self._pauses = 0
 
     def value(self, now_ms: int) -> int:
-        """Give the limit.
+        """Return the current limit.
 
-        :param now_ms: the time.
-        :returns: requests at once, 0 while paused.
+        :param now_ms: current time in ms.
+        :returns: number of concurrent requests, 0 while paused.
         """
         if now_ms < self.paused_until_ms:
             return 0
--- a/rhubarbhinge/routing/_connection.py
+++ b/rhubarbhinge/routing/_connection.py
@@ -6,11 +6,11 @@
 
 
 class Connection:
-    """A connection's state.
+    """State of one connection.
 
     :param conn: its number.
     :param upstream: the searcher's state.
-    :param opened_ms: when it was asked for.
+    :param opened_ms: time at which opening was requested.
     """
 
     __slots__ = ("closing", "conn", "job", "open", "opened_ms", "retired", "served", "upstream")
@@ -25,7 +25,7 @@
         self.closing = False
         #: Whether it takes no further request.
         self.retired = False
-        #: Whether an answer came on it.
+        #: Whether a response was received on it.
         self.served = False
         #: The request that it carries.
         self.job: Job | None = None
--- a/rhubarbhinge/routing/_connectionpool.py
+++ b/rhubarbhinge/routing/_connectionpool.py
@@ -11,24 +11,24 @@
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._upstreamspec import UpstreamSpec
 
-#: Doublings of the wait after failed connections before the bound applies at the latest.
+#: Maximum doublings of the delay after failed connections; the delay cap applies by then.
 MOST_DOUBLINGS = 16
-#: Connection attempts are given up after this many times the searcher's usual time.
+#: Connect timeout as a multiple of the searcher's usual connect time.
 CONNECT_TIME_FACTOR = 10
 
 
 class ConnectionPool:
-    """Opens connections ahead, never above the cap, and hands out idle ones.
+    """Opens connections in advance, up to a cap, and hands out idle ones.
 
     A connection counts against the cap from the effect that opens it until the shell reports it
     closed.
 
-    :param owner: the searcher's state, which its connections name.
+    :param owner: the searcher's state, to which its connections refer.
     :param spec: the searcher.
-    :param cap: most connections.
-    :param policy: settings.
+    :param cap: maximum number of connections.
+    :param policy: relay settings.
     :param table: all connections of the relay.
-    :param deadlines: where unfinished connections are put to be given up.
+    :param deadlines: deadline queue that connect timeouts are added to.
     """
 
     def __init__(
@@ -57,11 +57,11 @@
         return len(self._connections)
 
     def resize(self, spec: UpstreamSpec, cap: int, effects: list[Any]) -> None:
-        """Take the searcher's entry of another register revision.
+        """Apply the searcher's entry of another register revision.
 
-        :param spec: the searcher; connections to an older address take no further request.
-        :param cap: most connections; idle ones above it are closed.
-        :param effects: where effects are put.
+        :param spec: the searcher; connections to a previous address are retired.
+        :param cap: maximum number of connections; idle ones above it are closed.
+        :param effects: list that effects are appended to.
         """
         moved = (spec.ip, spec.port) != (self._spec.ip, self._spec.port)
         self._spec = spec
@@ -72,33 +72,33 @@
             self.close(self.idle[0], effects)
 
     def refused_wait_ms(self, now_ms: int) -> int | None:
-        """Tell whether the searcher refuses connections.
+        """Return whether the searcher refuses connections.
 
-        :param now_ms: the time.
-        :returns: the time in ms until the next attempt, or None when there is a connection.
+        :param now_ms: current time in ms.
+        :returns: time in ms until the next attempt; None if one is open or no attempt failed.
         """
         if not self._failures or len(self._connections) > self._opening:
             return None
         return max(0, self._not_before_ms - now_ms)
 
     def connect_wait_ms(self, now_ms: int) -> int:
-        """Estimate how long until there is an idle connection, when no request waits for one.
+        """Estimate the time until a connection is idle, given that no request waits for one.
 
-        :param now_ms: the time.
-        :returns: the time in ms.
+        :param now_ms: current time in ms.
+        :returns: time in ms.
         """
         if self.idle:
             return 0
         return max(0, self._not_before_ms - now_ms) + self._spec.connect_ms
 
     def keep_ready(self, waiting: int, now_ms: int, effects: list[Any]) -> None:
-        """Open what is missing: one for each request that may be sent, and spare ones.
+        """Open missing connections: one for each sendable request, and the spare ones.
 
-        While connections fail, only one at a time is tried.
+        While connection attempts fail, only one is made at a time.
 
-        :param waiting: requests that may be sent as soon as there are connections.
-        :param now_ms: the time.
-        :param effects: where effects are put.
+        :param waiting: number of requests that can be sent once connections are open.
+        :param now_ms: current time in ms.
+        :param effects: list that effects are appended to.
         """
         missing = waiting + self._policy.spare_connections - len(self.idle) - self._opening
         if missing <= 0 or now_ms < self._not_before_ms:
@@ -110,7 +110,7 @@
             self._open(now_ms, effects)
 
     def take(self, job: Job) -> Connection:
-        """Put a request on an idle connection, the most recently used; there must be one.
+        """Assign a request to the most recently used idle connection; there must be one.
 
         :param job: the request.
         :returns: the connection.
@@ -121,17 +121,17 @@
         return connection
 
     def opened(self, connection: Connection, effects: list[Any]) -> None:
-        """Note that a connection is open.
+        """Record that a connection is open.
 
         :param connection: the connection.
-        :param effects: where effects are put.
+        :param effects: list that effects are appended to.
         """
         connection.open = True
         self._opening -= 1
         self.release(connection, effects)
 
     def served(self, connection: Connection) -> None:
-        """Note an answer; one on a newer connection ends a series of failed ones.
+        """Record a response; on a connection opened after the last failure, it ends the back-off.
 
         :param connection: the connection.
         """
@@ -140,10 +140,10 @@
             self._failures = 0
 
     def release(self, connection: Connection, effects: list[Any]) -> None:
-        """Take back a connection that carries no request any more.
+        """Return a connection without a request to the pool.
 
-        :param connection: the connection; closed when it is retired or above the cap.
-        :param effects: where effects are put.
+        :param connection: the connection; closed if it is retired or the pool is above its cap.
+        :param effects: list that effects are appended to.
         """
         if connection.retired or len(self._connections) > self._cap:
             self.close(connection, effects)
@@ -151,10 +151,10 @@
         self.idle.append(connection)
 
     def close(self, connection: Connection, effects: list[Any]) -> None:
-        """Close a connection, once.
+        """Close a connection unless it is already closing.
 
         :param connection: the connection.
-        :param effects: where effects are put.
+        :param effects: list that effects are appended to.
         """
         if connection.closing:
             return
@@ -164,9 +164,9 @@
         effects.append(CloseConnection(connection.conn))
 
     def retire_all(self, effects: list[Any]) -> None:
-        """Let no connection take a further request; those without one are closed at once.
+        """Retire all connections; those without a request are closed at once.
 
-        :param effects: where effects are put.
+        :param effects: list that effects are appended to.
         """
         for connection in list(self._connections.values()):
             connection.retired = True
@@ -174,10 +174,10 @@
                 self.close(connection, effects)
 
     def closed(self, connection: Connection, now_ms: int) -> None:
-        """Note that a connection is closed, failed to open, or was refused.
+        """Record that a connection is closed, failed to open, or was refused.
 
         :param connection: the connection.
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         """
         del self._connections[connection.conn]
         connection.closing = True
--- a/rhubarbhinge/routing/_connectiontable.py
+++ b/rhubarbhinge/routing/_connectiontable.py
@@ -6,7 +6,7 @@
 
 
 class ConnectionTable:
-    """Numbers connections and finds them; a number is never used again."""
+    """Allocates connection numbers, which are never reused, and looks connections up."""
 
     def __init__(self) -> None:
         self._by_conn: dict[int, Connection] = {}
@@ -14,10 +14,10 @@
         self.get = self._by_conn.get
 
     def new(self, upstream: Any, now_ms: int) -> Connection:
-        """Make a connection that is still to be opened.
+        """Register a connection that is yet to be opened.
 
         :param upstream: the searcher's state.
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         :returns: the connection.
         """
         self._last_conn += 1
@@ -26,9 +26,9 @@
         return connection
 
     def pop(self, conn: int) -> Connection | None:
-        """Forget a connection.
+        """Remove a connection.
 
         :param conn: its number.
-        :returns: the connection, or None when it is not known.
+        :returns: the connection, or None if it is not known.
         """
         return self._by_conn.pop(conn, None)
--- a/rhubarbhinge/routing/_deadlines.py
+++ b/rhubarbhinge/routing/_deadlines.py
@@ -1,13 +1,13 @@
-"""Items by the millisecond at which they are due."""
+"""Deadline queue with buckets of one millisecond."""
 
 import heapq
 from typing import Any
 
 
 class Deadlines:
-    """Buckets of one millisecond; adding costs an append, since most items end before they are due.
+    """Items by due time; adding is a list append, since most items end before they are due.
 
-    An ended item stays until its time and is then skipped by the caller.
+    Ended items stay until they are due; the caller then skips them.
     """
 
     def __init__(self) -> None:
@@ -15,10 +15,10 @@
         self._times_ms: list[int] = []
 
     def bucket(self, due_ms: int) -> list[Any]:
-        """Give the items of one millisecond, for appending.
+        """Return the bucket of one millisecond, to append items to.
 
-        :param due_ms: the time.
-        :returns: the list itself, valid until the next :meth:`pop_due`.
+        :param due_ms: due time in ms.
+        :returns: mutable list, valid until the next :meth:`pop_due`.
         """
         found = self._buckets.get(due_ms)
         if found is None:
@@ -27,9 +27,9 @@
         return found
 
     def pop_due(self, now_ms: int) -> list[Any]:
-        """Take out what is due.
+        """Remove and return due items.
 
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         :returns: the items, earliest first.
         """
         due: list[Any] = []
@@ -38,8 +38,8 @@
         return due
 
     def next_ms(self) -> int | None:
-        """Give the earliest time.
+        """Return the earliest due time.
 
-        :returns: the time in ms, or None when there is nothing.
+        :returns: time in ms, or None if there are no items.
         """
         return self._times_ms[0] if self._times_ms else None
--- a/rhubarbhinge/routing/_drainmemory.py
+++ b/rhubarbhinge/routing/_drainmemory.py
@@ -1,23 +1,23 @@
-"""Searchers that were leaving when the relay stopped to own them."""
+"""Drain state of searchers that were leaving when the relay lost ownership."""
 
 from rhubarbhinge.routing._drainstate import DrainState
 
-#: Most searchers remembered; the oldest is forgotten, and says again itself that it leaves.
+#: Maximum number of entries; an evicted searcher itself reports again that it is leaving.
 MOST_REMEMBERED = 10_000
 
 
 class DrainMemory:
-    """Keeps a leaving searcher's signals and incarnation, for when the relay owns it again."""
+    """Stores a leaving searcher's signals and incarnation in case the relay owns it again."""
 
     def __init__(self) -> None:
         self._kept: dict[int, tuple[DrainState, int | None]] = {}
 
     def keep(self, upstream_id: int, drain: DrainState, incarnation: int | None) -> None:
-        """Remember a searcher if it is leaving.
+        """Store a searcher's state if it is leaving.
 
         :param upstream_id: the searcher.
-        :param drain: its signals.
-        :param incarnation: its incarnation, None when it is not known.
+        :param drain: its drain signals.
+        :param incarnation: its incarnation, None if it is not known.
         """
         if not drain.draining:
             return
@@ -26,9 +26,9 @@
         self._kept[upstream_id] = drain, incarnation
 
     def take(self, upstream_id: int) -> tuple[DrainState, int | None]:
-        """Give back what is remembered.
+        """Remove and return a searcher's stored state.
 
         :param upstream_id: the searcher.
-        :returns: its signals and incarnation; none of either for an unknown one.
+        :returns: drain signals and incarnation; no signals and None for an unknown searcher.
         """
         return self._kept.pop(upstream_id, None) or (DrainState(), None)
--- a/rhubarbhinge/routing/_drainstate.py
+++ b/rhubarbhinge/routing/_drainstate.py
@@ -1,10 +1,10 @@
-"""Whether a searcher is leaving."""
+"""Drain signals of a searcher."""
 
 
 class DrainState:
-    """Signals that a searcher leaves: the earliest counts, and it is sticky.
+    """Combines the signals that a searcher is leaving; the first one takes effect and is sticky.
 
-    A newer incarnation undoes every signal but the register's; a newer register revision undoes
+    A newer incarnation clears every signal except the register's; a newer register revision clears
     the register's own.
     """
 
@@ -16,21 +16,21 @@
 
     @property
     def draining(self) -> bool:
-        """Whether any signal stands."""
+        """Whether any signal is set."""
         return self._by_register or self._by_searcher_or_list
 
     def on_register(self, leaving: bool, revision: int) -> None:
-        """Note the register's flag.
+        """Record the register's leaving flag.
 
         :param leaving: the flag.
-        :param revision: the register's revision; only a newer one undoes the flag.
+        :param revision: the register's revision; only a newer one clears the flag.
         """
         if leaving or revision > self._register_revision:
             self._by_register = leaving
             self._register_revision = revision
 
     def on_vm_list(self, leaving: bool) -> None:
-        """Note the VM list; only a change to leaving counts, since the list lags.
+        """Record the VM list's state; only a change to leaving counts, since the list lags.
 
         :param leaving: whether the list says that the searcher's VM leaves.
         """
@@ -39,9 +39,9 @@
         self._listed = leaving
 
     def on_signal(self) -> None:
-        """Note that the searcher itself said so, in its health or in an answer."""
+        """Record that the searcher itself reported it, in its health document or in a response."""
         self._by_searcher_or_list = True
 
     def on_newer_incarnation(self) -> None:
-        """Note that the searcher has started anew."""
+        """Record that the searcher has restarted."""
         self._by_searcher_or_list = False
--- a/rhubarbhinge/routing/_droppeer.py
+++ b/rhubarbhinge/routing/_droppeer.py
@@ -1,4 +1,4 @@
-"""Effect: close the link of a peer that broke the protocol."""
+"""Effect: close the link of a peer that violated the protocol."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
     """Close a peer's link; the shell then calls ``on_peer_gone``.
 
     :param peer: the entry's link.
-    :param code: what was wrong, for the log.
+    :param code: error code for the log.
     """
 
     peer: str
--- a/rhubarbhinge/routing/_expiry.py
+++ b/rhubarbhinge/routing/_expiry.py
@@ -1,4 +1,4 @@
-"""What happens to requests and connections whose time is over."""
+"""Expiry of requests and of connection attempts."""
 
 from typing import Any
 
@@ -17,16 +17,16 @@
     now_ms: int,
     effects: list[Any],
 ) -> None:
-    """End a request that is due, or give up a connection that has not opened.
+    """End a request whose deadline has passed, or abort a connection attempt.
 
     A request that was sent keeps its slot and connection for ``late_answer_ms``; then the
     connection is closed.
 
-    :param table: where ended requests are forgotten.
-    :param deadlines: where the late answer's time is put.
+    :param table: request table; ended requests are removed from it.
+    :param deadlines: deadline queue that the late-response timeout is added to.
     :param item: the request or connection.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     if isinstance(item, Connection):
         if not item.open:
--- a/rhubarbhinge/routing/_healthdoc.py
+++ b/rhubarbhinge/routing/_healthdoc.py
@@ -1,4 +1,4 @@
-"""A searcher's health document, checked."""
+"""Validation of searchers' health documents."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthDoc:
-    """What a searcher says of itself.
+    """A validated health document.
 
     :param incarnation: its incarnation; later ones are larger.
     :param state: one of :data:`STATES`.
-    :param holding: what it holds.
+    :param holding: collections and ranges that the searcher holds.
     """
 
     incarnation: int
@@ -24,12 +24,12 @@
 
 
 def health_doc(upstream_id: int, name: str, doc: Any) -> HealthDoc | None:
-    """Check a health document.
+    """Validate a health document.
 
     :param upstream_id: the searcher's number.
     :param name: the searcher's name in the register.
-    :param doc: the parsed JSON, from anyone.
-    :returns: the checked document, or None when it is malformed or of another searcher.
+    :param doc: parsed JSON from an untrusted source.
+    :returns: the validated document, or None if it is malformed or of another searcher.
     """
     try:
         if doc["name"] != name or doc["state"] not in STATES:
@@ -65,5 +65,5 @@
 
 def _unsigned(value: Any) -> int:
     if type(value) is not int or not 0 <= value < 1 << 64:
-        raise ValueError("not an unsigned number")
+        raise ValueError("expected an unsigned 64-bit integer")
     return value
--- a/rhubarbhinge/routing/_intake.py
+++ b/rhubarbhinge/routing/_intake.py
@@ -1,4 +1,4 @@
-"""Takes entries' requests in, or refuses them."""
+"""Accepts or refuses requests from entries."""
 
 from typing import Any
 
@@ -16,19 +16,19 @@
 from rhubarbhinge.routing._upstreamtable import UpstreamTable
 from rhubarbhinge.wire import SubBatch, SubCode
 
-#: Runs go before searches of any class; the weights of classes are far below.
+#: Ranks runs ahead of searches; the weights of all search classes are far lower.
 RUN_WEIGHT = 1 << 62
 
 
 class Intake:
-    """Makes requests of what entries send, and numbers the searches.
-
-    :param incarnation: the relay's incarnation, which the names of its calls begin with.
-    :param policy: settings.
-    :param requests: all requests of the relay.
-    :param deadlines: what becomes due at the relay.
-    :param upstreams: the searchers.
-    :param sweeps: brought forward when there is work.
+    """Creates requests from entries' messages, and assigns call identifiers to searches.
+
+    :param incarnation: the relay's incarnation, used as the prefix of call identifiers.
+    :param policy: relay settings.
+    :param requests: all unfinished requests of the relay.
+    :param deadlines: deadline queue of the relay.
+    :param upstreams: table of searchers.
+    :param sweeps: sweep schedule; new work brings the next sweep forward.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
         self._call_format = b"%d.%%d" % incarnation
 
     def batch(self, peer: str, batch: SubBatch, head: bytes, now_ms: int) -> list[Any]:
-        """Take sub-queries that are meant for this relay.
+        """Accept or refuse sub-queries that are addressed to this relay.
 
         :param peer: the entry's link.
-        :param batch: the message, with columns of one length.
-        :param head: what their bodies have in common.
-        :param now_ms: the time.
-        :returns: effects.
+        :param batch: the message, with columns of equal length.
+        :param head: common start of the request bodies.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         self._sweeps.soon(now_ms)
         effects: list[Any] = []
@@ -98,15 +98,15 @@
         deadline_ms: int,
         now_ms: int,
     ) -> list[Any]:
-        """Take a run whose ticket is new.
+        """Accept or refuse a run with a new ticket.
 
         :param peer: the entry's link.
         :param ticket: its ticket.
         :param upstream_id: the searcher.
-        :param parts: what goes before and after the deadline in its body.
-        :param deadline_ms: time left when the message was made.
-        :param now_ms: the time.
-        :returns: effects.
+        :param parts: request body before and after the deadline value.
+        :param deadline_ms: time left when the message was created.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         upstream = self._upstreams.by_id.get(upstream_id)
         due_ms = self._due_ms(deadline_ms, now_ms)
@@ -130,11 +130,11 @@
 
 
 def wrong_receiver(peer: str, batch: SubBatch) -> list[Any]:
-    """Refuse sub-queries that are meant for another relay, or for another incarnation of this one.
+    """Refuse sub-queries addressed to another relay, or to another incarnation of this one.
 
     :param peer: the entry's link.
     :param batch: the message.
-    :returns: effects.
+    :returns: effects to carry out.
     """
     refused = Refusal(int(SubCode.WRONG_RECEIVER))
     return [
--- a/rhubarbhinge/routing/_job.py
+++ b/rhubarbhinge/routing/_job.py
@@ -4,17 +4,17 @@
 
 
 class Job:
-    """A sub-query or a run; mutable, and slotted since there is one for each request.
+    """A sub-query or a run; has slots because one is created for each request.
 
     :param peer: the entry's link.
     :param key: call, part and attempt of a sub-query; the ticket of a run.
     :param upstream: the searcher's state.
-    :param weight: its class's weight.
-    :param queued_ms: when it came.
-    :param due_ms: when its answer has to be back at the relay.
-    :param call: the call as the searcher knows it; empty for a run.
-    :param head: the JSON body up to the deadline.
-    :param tail: the JSON body after the deadline.
+    :param weight: weight of its traffic class.
+    :param queued_ms: arrival time.
+    :param due_ms: time by which the relay needs the response.
+    :param call: call identifier sent to the searcher; empty for a run.
+    :param head: JSON body before the deadline value.
+    :param tail: JSON body after the deadline value.
     """
 
     __slots__ = (
@@ -32,11 +32,11 @@
         "weight",
     )
 
-    #: Waits in the queue.
+    #: Waiting in the queue.
     QUEUED = 0
-    #: Sent, and its outcome is still wanted.
+    #: Sent, and its outcome is still awaited.
     SENT = 1
-    #: Its outcome was given, or nobody wants it any more.
+    #: Its outcome was delivered, or it was cancelled.
     DONE = 2
 
     def __init__(
@@ -66,5 +66,5 @@
 
     @property
     def is_run(self) -> bool:
-        """Whether it must not repeat."""
+        """Whether this is a run, which is sent at most once."""
         return not self.call
--- a/rhubarbhinge/routing/_loadreports.py
+++ b/rhubarbhinge/routing/_loadreports.py
@@ -1,4 +1,4 @@
-"""When a relay tells entries the load of its searchers."""
+"""Load reports that a relay publishes to entries."""
 
 from dataclasses import replace
 from typing import Any
@@ -10,10 +10,10 @@
 
 
 class LoadReports:
-    """Publishes what has changed, and repeats now and then what has not.
+    """Publishes changed load reports, and repeats unchanged ones periodically.
 
-    :param policy: settings.
-    :ivar due_ms: when the next report is looked at.
+    :param policy: relay settings.
+    :ivar due_ms: time of the next report check.
     """
 
     def __init__(self, policy: RelayPolicy) -> None:
@@ -25,9 +25,9 @@
     def publish(self, report: UpstreamReport, now_ms: int, effects: list[Any]) -> None:
         """Publish a report that differs from the last one, or is due for repetition.
 
-        :param report: the report of now.
-        :param now_ms: the time.
-        :param effects: where effects are put.
+        :param report: the current report.
+        :param now_ms: current time in ms.
+        :param effects: list that effects are appended to.
         """
         self.due_ms = now_ms + self._policy.report_period_ms
         unchanged = replace(report, relay_now_ms=0)
@@ -39,10 +39,10 @@
 
 
 def load_report(upstreams: list[Upstream], now_ms: int) -> UpstreamReport:
-    """Give the load of searchers.
+    """Return the load report of searchers.
 
-    :param upstreams: their states.
-    :param now_ms: the time.
+    :param upstreams: the searchers' states.
+    :param now_ms: current time in ms.
     :returns: the report.
     """
     return UpstreamReport(
--- a/rhubarbhinge/routing/_openconnection.py
+++ b/rhubarbhinge/routing/_openconnection.py
@@ -5,11 +5,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Open a connection; the shell answers with ``on_connected`` or ``on_connection_closed``.
+    """Open a connection; the shell then calls ``on_connected`` or ``on_connection_closed``.
 
-    :param conn: the connection's number, chosen by the core and never used again.
+    :param conn: the connection's number, assigned by the core and never reused.
     :param upstream_id: the searcher.
-    :param ip: its IP number.
+    :param ip: its IP address.
     :param port: its port.
     """
 
--- a/rhubarbhinge/routing/_ownership.py
+++ b/rhubarbhinge/routing/_ownership.py
@@ -1,4 +1,4 @@
-"""Which relays own a searcher: rendezvous hashing, no election."""
+"""Ownership of searchers by relays, decided by rendezvous hashing without election."""
 
 from collections.abc import Sequence
 from functools import lru_cache
@@ -6,19 +6,19 @@
 
 import xxhash
 
-#: Sets of candidates whose encoded names are kept: one for each cell or failure domain at hand.
+#: Number of cached candidate sets with encoded names; one per cell or failure domain in use.
 KEPT_NAME_SETS = 256
 
 
 def rendezvous(key: str | int, names: Sequence[str], count: int) -> tuple[str, ...]:
-    """Choose names for a key; a lost name moves only the keys that it had.
+    """Choose names for a key; removing a name moves only the keys assigned to it.
 
     Each name's weight for the key is a hash of both (Thaler and Ravishankar, Using Name-Based
     Mappings to Increase Hit Rates, 1998).
 
-    :param key: what is placed, for example a searcher's name.
+    :param key: key to place, for example a searcher's name.
     :param names: the candidates, in any order, without duplicates.
-    :param count: how many to choose.
+    :param count: number of names to choose.
     :returns: the ``count`` names of highest hash, highest first; all when there are fewer.
     """
     digest = xxhash.xxh64_intdigest
@@ -31,11 +31,11 @@
 
 
 def owners(upstream_name: str, live_relays: Sequence[str]) -> tuple[str | None, str | None]:
-    """Give a searcher's owner and stand-by.
+    """Return a searcher's owner and stand-by.
 
     :param upstream_name: the searcher's name in the register.
     :param live_relays: names of the live relays that may own it.
-    :returns: owner and stand-by; None for each that there is no relay for.
+    :returns: owner and stand-by; either is None if there are too few relays.
     """
     best = rendezvous(upstream_name, live_relays, 2)
     owner, standby, *_ = (*best, None, None)
--- a/rhubarbhinge/routing/_ownertable.py
+++ b/rhubarbhinge/routing/_ownertable.py
@@ -1,4 +1,4 @@
-"""Owners under one version of the membership."""
+"""Owners of searchers for one version of the membership."""
 
 from collections.abc import Sequence
 
@@ -6,9 +6,9 @@
 
 
 class OwnerTable:
-    """Remembers each searcher's owners; a change of the membership makes a new table.
+    """Caches each searcher's owners; a membership change creates a new table.
 
-    Owners are found when they are first asked for, so that a change of the membership costs no
+    Owners are computed on first access, so that a membership change causes no
     long pause.
 
     :param live_relays: names of the live relays that may own a searcher.
@@ -19,7 +19,7 @@
         self._owners: dict[str, tuple[str | None, str | None]] = {}
 
     def owners(self, upstream_name: str) -> tuple[str | None, str | None]:
-        """Give a searcher's owner and stand-by.
+        """Return a searcher's owner and stand-by.
 
         :param upstream_name: the searcher's name in the register.
         :returns: as :func:`rhubarbhinge.routing.owners`.
--- a/rhubarbhinge/routing/_publishholding.py
+++ b/rhubarbhinge/routing/_publishholding.py
@@ -1,4 +1,4 @@
-"""Effect: tell every entry what a searcher holds."""
+"""Effect: publish a searcher's holding report to every entry."""
 
 from dataclasses import dataclass
 
--- a/rhubarbhinge/routing/_publishload.py
+++ b/rhubarbhinge/routing/_publishload.py
@@ -1,4 +1,4 @@
-"""Effect: tell every entry the searchers' load."""
+"""Effect: publish the searchers' load to every entry."""
 
 from dataclasses import dataclass
 
--- a/rhubarbhinge/routing/_refusal.py
+++ b/rhubarbhinge/routing/_refusal.py
@@ -1,14 +1,14 @@
-"""Why a request is refused at once."""
+"""Reason for refusing a request on arrival."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request's refusal.
+    """Refusal of a request.
 
     :param code: a :class:`rhubarbhinge.wire.SubCode` value.
-    :param retry_after_ms: when to come back; 0 where another time would not help.
+    :param retry_after_ms: retry-after in ms; 0 if a later retry would not help.
     """
 
     code: int
--- a/rhubarbhinge/routing/_refusals.py
+++ b/rhubarbhinge/routing/_refusals.py
@@ -1,4 +1,4 @@
-"""Which requests a relay refuses at once."""
+"""Admission control for requests that arrive at a relay."""
 
 from math import ceil
 
@@ -8,13 +8,13 @@
 
 
 def refusal(upstream: Upstream | None, weight: int, due_ms: int, now_ms: int) -> Refusal | None:
-    """Decide whether a request is refused at once, so that its entry may try a replica in time.
+    """Decide whether to refuse a request on arrival, so that its entry can try a replica in time.
 
-    :param upstream: the searcher's state, None when it is not known.
+    :param upstream: the searcher's state, None if it is not known.
     :param weight: the weight of the request's class.
-    :param due_ms: when its answer has to be back at the relay.
-    :param now_ms: the time.
-    :returns: None when it is taken.
+    :param due_ms: time by which the relay needs the response.
+    :param now_ms: current time in ms.
+    :returns: the refusal, or None if the request is admitted.
     """
     if upstream is None or not upstream.owned:
         return Refusal(int(SubCode.WRONG_RECEIVER))
--- a/rhubarbhinge/routing/_relaycore.py
+++ b/rhubarbhinge/routing/_relaycore.py
@@ -1,4 +1,4 @@
-"""The relay's decisions: one queue in front of each searcher that it owns."""
+"""Sans-I/O core of the relay, with one queue for each searcher that it owns."""
 
 from random import Random
 from typing import Any
@@ -33,15 +33,15 @@
 
 
 class RelayCore:
-    """Queues, slots, connections and drain of the searchers that one relay owns.
+    """State machine for the queues, slots, connections and draining of a relay's searchers.
 
-    Each input returns the effects that the shell carries out, in order. A connection counts
+    Each input method returns the effects that the shell carries out, in order. A connection counts
     against its searcher's cap, and a request against its slots, until the shell calls
-    :meth:`on_connection_closed` (it does so once for each connection, also after its own close).
+    :meth:`on_connection_closed`, once for each connection, including those that it closed itself.
 
     :param incarnation: this relay's incarnation.
-    :param settings: settings.
-    :param rng: random source, for jitter.
+    :param settings: relay settings.
+    :param rng: random number generator for jitter.
     """
 
     def __init__(self, incarnation: int, settings: RelayPolicy, rng: Random) -> None:
@@ -69,47 +69,47 @@
         return self._upstreams.revision
 
     def is_idle(self) -> bool:
-        """Tell whether no entry waits for anything, so that the relay may stop.
+        """Return whether no entry waits for a result, so that the relay may stop.
 
-        :returns: True when there is no request.
+        :returns: True if there is no unfinished request.
         """
         return self._requests.is_idle()
 
     def set_upstreams(
         self, register_revision: int, owned: tuple[UpstreamSpec, ...], now_ms: int
     ) -> list[Any]:
-        """Take the searchers that this relay owns; an older register revision is ignored.
+        """Update the searchers that this relay owns; an older register revision is ignored.
 
-        With none, the relay hands over: it answers its queues, lets what is in flight end, and
-        closes its connections.
+        An empty tuple hands over all searchers: the relay fails queued requests, lets those in
+        flight finish, and closes its connections.
 
-        :param register_revision: the register that they come from.
-        :param owned: the searchers.
-        :param now_ms: the time.
-        :returns: effects.
+        :param register_revision: revision of the register that lists them.
+        :param owned: searchers that this relay owns.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         self._upstreams.set_owned(register_revision, owned, now_ms, effects)
         return effects
 
     def set_leaving(self, upstream_ids: frozenset[int], now_ms: int) -> list[Any]:
-        """Take the searchers whose VMs the platform's list calls leaving.
+        """Update the searchers whose VMs are marked as leaving in the platform's VM list.
 
-        :param upstream_ids: all of them, owned or not.
-        :param now_ms: the time.
-        :returns: effects.
+        :param upstream_ids: all leaving searchers, owned or not.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         self._upstreams.set_leaving(upstream_ids, now_ms, effects)
         return effects
 
     def on_batch(self, peer: str, batch: SubBatch, now_ms: int) -> list[Any]:
-        """Take sub-queries.
+        """Accept or refuse a batch of sub-queries.
 
         :param peer: the entry's link.
-        :param batch: the message, from anyone who holds the deployment key.
-        :param now_ms: the time.
-        :returns: effects.
+        :param batch: unvalidated message; any holder of the deployment key can send it.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         columns = (batch.parts, batch.attempts, batch.upstream_ids, batch.los, batch.his)
         head = search_head(batch)
@@ -129,16 +129,16 @@
         deadline_ms: int,
         now_ms: int,
     ) -> list[Any]:
-        """Take a request that must not repeat; it is sent once at most.
+        """Accept or refuse a run, a request that is sent at most once.
 
         :param peer: the entry's link.
-        :param ticket: its ticket; one that may have been sent before is not sent again.
+        :param ticket: the run's ticket; one that may have been sent before is not sent again.
         :param upstream_id: the searcher.
-        :param action: what to run.
-        :param body: the caller's JSON object.
-        :param deadline_ms: time left when the message was made.
-        :param now_ms: the time.
-        :returns: effects.
+        :param action: name of the action to run.
+        :param body: JSON object from the caller.
+        :param deadline_ms: time left when the message was created.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         if self._requests.knows_ticket(ticket):
             return [RunResult(peer, ticket, RunKind.UNKNOWN, b"", 0)]
@@ -148,20 +148,20 @@
         return self._intake.run(peer, ticket, upstream_id, parts, deadline_ms, now_ms)
 
     def knows_ticket(self, ticket: str) -> bool:
-        """Tell whether a run is queued here or may have been sent.
+        """Return whether a run is queued here or may have been sent.
 
         :param ticket: its ticket.
-        :returns: False when it is new, or known not to have been sent.
+        :returns: False if it is new, or known not to have been sent.
         """
         return self._requests.knows_ticket(ticket)
 
     def on_cancel(self, peer: str, batch: CancelBatch, now_ms: int) -> list[Any]:
-        """Give up sub-queries; those in flight keep their slot until they end.
+        """Cancel sub-queries; those in flight keep their slots until they end.
 
         :param peer: the entry's link.
-        :param batch: the sub-queries.
-        :param now_ms: the time.
-        :returns: effects.
+        :param batch: the sub-queries to cancel.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         columns = (batch.call_ids, batch.parts, batch.attempts)
         if not _same_length(columns):
@@ -175,11 +175,11 @@
         return effects
 
     def on_peer_gone(self, peer: str, now_ms: int) -> list[Any]:
-        """Give up all that an entry waits for, but for runs in flight, which end with a result.
+        """Cancel all requests of an entry except runs in flight, which end with a result.
 
         :param peer: the entry's link.
-        :param now_ms: the time.
-        :returns: effects.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         for job in list(self._requests.of_peer(peer, {}).values()):
@@ -188,11 +188,11 @@
         return effects
 
     def on_connected(self, conn: int, now_ms: int) -> list[Any]:
-        """Note that a connection is open.
+        """Record that a connection is open.
 
         :param conn: the connection.
-        :param now_ms: the time.
-        :returns: effects.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         connection = self._connections.get(conn)
@@ -203,11 +203,11 @@
         return effects
 
     def on_connection_closed(self, conn: int, now_ms: int) -> list[Any]:
-        """Note that a connection is closed, failed to open, or was refused.
+        """Record that a connection is closed, failed to open, or was refused.
 
         :param conn: the connection.
-        :param now_ms: the time.
-        :returns: effects.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         connection = self._connections.pop(conn)
@@ -232,14 +232,14 @@
     def on_reply(
         self, conn: int, status: int, draining_header: bool, body: bytes, now_ms: int
     ) -> list[Any]:
-        """Take a searcher's whole answer.
+        """Process a complete HTTP response from a searcher.
 
         :param conn: the connection.
-        :param status: HTTP status.
-        :param draining_header: whether the answer carried ``Draining: 1``.
-        :param body: the answer's body.
-        :param now_ms: the time.
-        :returns: effects.
+        :param status: HTTP status code.
+        :param draining_header: whether the response had the header ``Draining: 1``.
+        :param body: response body.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         connection = self._connections.get(conn)
@@ -273,13 +273,13 @@
         now_ms: int,
         draining_header: bool = False,
     ) -> list[Any]:
-        """Take the answer to a health poll; one of an older incarnation is ignored.
+        """Process the response to a health poll; one of an older incarnation is ignored.
 
         :param upstream_id: the searcher.
-        :param doc: the parsed document, or None when there was none.
-        :param now_ms: the time.
-        :param draining_header: whether the answer carried ``Draining: 1``.
-        :returns: effects.
+        :param doc: parsed health document, or None if the poll failed.
+        :param now_ms: current time in ms.
+        :param draining_header: whether the response had the header ``Draining: 1``.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         upstream = self._upstreams.by_id.get(upstream_id)
@@ -294,10 +294,10 @@
         return effects
 
     def tick(self, now_ms: int) -> list[Any]:
-        """Do what is due: expiry, ramps, connections, health polls and reports.
+        """Perform due work: expiry, ramps, connections, health polls and load reports.
 
-        :param now_ms: the time.
-        :returns: effects.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         for item in self._deadlines.pop_due(now_ms):
@@ -311,34 +311,34 @@
         return effects
 
     def next_wake_ms(self) -> int:
-        """Give the time at which :meth:`tick` has something to do.
+        """Return the time at which :meth:`tick` must be called next.
 
-        :returns: the time in ms.
+        :returns: time in ms.
         """
         due_ms = self._deadlines.next_ms()
         wake_ms = min(self._sweeps.due_ms, self._reports.due_ms)
         return wake_ms if due_ms is None else min(wake_ms, due_ms)
 
     def reports(self, now_ms: int) -> UpstreamReport:
-        """Give the load of all owned searchers.
+        """Return a load report for all owned searchers.
 
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         :returns: the report.
         """
         return load_report(self._upstreams.owned(), now_ms)
 
     def open_work(self) -> int:
-        """Count queued and in-flight requests, at searchers that were handed over too.
+        """Count queued and in-flight requests, including those at searchers that were handed over.
 
-        :returns: their number.
+        :returns: number of requests.
         """
         upstreams = self._upstreams.by_id.values()
         return sum(upstream.queue.count + upstream.in_flight for upstream in upstreams)
 
     def holdings(self) -> tuple[HoldingReport, ...]:
-        """Give what all owned searchers hold, for an entry that has just linked.
+        """Return the holding reports of all owned searchers, for a newly linked entry.
 
-        :returns: the latest report of each searcher that was heard from.
+        :returns: latest report of each searcher that has sent one.
         """
         found = (upstream.holding for upstream in self._upstreams.owned())
         return tuple(holding for holding in found if holding is not None)
--- a/rhubarbhinge/routing/_relaypolicy.py
+++ b/rhubarbhinge/routing/_relaypolicy.py
@@ -1,43 +1,43 @@
-"""Settings of the relay's decisions."""
+"""Relay settings."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RelayPolicy:
-    """Settings of the relay's decisions; the defaults suit searches of 10 to 100 ms.
+    """Settings of the relay core; the defaults suit searches of 10 to 100 ms.
 
-    :param reply_margin_ms: kept from each deadline for the answer's way back to the entry.
-    :param upstream_margin_ms: kept from each deadline for the searcher's answer to the relay.
-    :param queue_limit: most queued requests in front of one searcher.
+    :param reply_margin_ms: part of each deadline reserved for the reply to reach the entry.
+    :param upstream_margin_ms: part of each deadline reserved for the searcher's reply to the relay.
+    :param queue_limit: maximum queue length of one searcher.
     :param spare_connections: idle connections kept ready for each searcher.
-    :param control_connections: connections kept out of the pool, for health polls and cancels.
+    :param control_connections: connections reserved outside the pool for health polls and cancels.
     :param assumed_service_ms: service time assumed until one was observed.
-    :param service_gain: weight of a new service time in the moving average.
+    :param service_gain: weight of a new service time in the exponential moving average.
     :param ramp_ms: time in which a cold searcher's concurrency rises to all its slots.
-    :param shed_raise_ms: time between two steps of the concurrency up again after a shed answer.
-    :param least_retry_after_ms: least retry-after given with a refusal.
-    :param least_pause_ms: first pause of a searcher that sheds even single requests; doubles.
-    :param most_pause_ms: longest such pause, unless the searcher asks for a longer one.
-    :param least_connect_timeout_ms: shortest time after which an unfinished connection is given
-        up; longer for searchers that take long to connect to.
-    :param least_connection_life_ms: a connection that the searcher closes sooner, without an
-        answer, counts as a failed one.
-    :param least_connect_wait_ms: wait after the first failed connection; doubles from there.
-    :param most_connect_wait_ms: longest wait between two connection attempts.
+    :param shed_raise_ms: time between increases of the concurrency limit after a shed response.
+    :param least_retry_after_ms: minimum retry-after sent with a refusal.
+    :param least_pause_ms: first pause of a searcher that sheds at a limit of one; then doubles.
+    :param most_pause_ms: longest such pause, unless the searcher requests a longer one.
+    :param least_connect_timeout_ms: minimum connect timeout; searchers with a long connect time
+        get a longer one.
+    :param least_connection_life_ms: a connection that closes sooner, without a response, counts
+        as a failed connection attempt.
+    :param least_connect_wait_ms: delay after the first failed connection; then doubles.
+    :param most_connect_wait_ms: longest delay between two connection attempts.
     :param late_answer_ms: time for which a timed-out request may keep its connection and slot.
-    :param most_deadline_ms: longest deadline; a longer one is cut to it.
-    :param most_warming_ms: time for which a searcher is believed that it is warming.
-    :param down_failures: failures in a row after which a searcher counts as down.
+    :param most_deadline_ms: maximum deadline; longer ones are shortened to it.
+    :param most_warming_ms: longest time for which a searcher's warming state is honoured.
+    :param down_failures: consecutive failures after which a searcher counts as down.
     :param health_period_ms: mean time between two health polls of a searcher.
-    :param idle_sweep_period_ms: the same, while nothing is queued, in flight, or ramping up.
-    :param sweep_period_ms: time between two looks at all searchers, for ramps, pauses, connections
-        and requests that have become hopeless.
+    :param idle_sweep_period_ms: sweep period while nothing is queued, in flight or ramping up.
+    :param sweep_period_ms: time between sweeps over all searchers, which update ramps, pauses and
+        connections and refuse requests that can no longer meet their deadline.
     :param report_period_ms: time between two load reports, while the load changes.
-    :param report_repeat_ms: time after which a report is repeated though nothing changed.
-    :param early_refusal: whether what cannot make its deadline is refused at once; a switch for
-        measuring.
-    :param ticket_memory_ms: a sent run's ticket is refused for so long; above a ticket's lifetime.
+    :param report_repeat_ms: time after which an unchanged report is sent again.
+    :param early_refusal: whether requests that cannot meet their deadline are refused on arrival;
+        turned off only for measurements.
+    :param ticket_memory_ms: time for which a used ticket is refused; exceeds a ticket's lifetime.
     """
 
     reply_margin_ms: int = 4
--- a/rhubarbhinge/routing/_requestbodies.py
+++ b/rhubarbhinge/routing/_requestbodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies of requests to searchers, in parts that are made once where they can be."""
+"""JSON bodies of requests to searchers; common parts are encoded once per batch."""
 
 import orjson
 
@@ -6,10 +6,10 @@
 
 
 def search_head(batch: SubBatch) -> bytes | None:
-    """Make what the bodies of a batch have in common, up to the deadline.
+    """Encode the common start of a batch's request bodies, up to the deadline value.
 
     :param batch: the batch.
-    :returns: the bytes, or None when the text is no valid Unicode.
+    :returns: encoded bytes, or None if the text is not valid Unicode.
     """
     common = {
         "collection": batch.collection,
@@ -24,12 +24,12 @@
 
 
 def run_parts(ticket: str, action: str, body: bytes) -> tuple[bytes, bytes] | None:
-    """Make the body of a run, without its deadline.
+    """Encode the request body of a run, without its deadline value.
 
     :param ticket: its ticket.
-    :param action: what to run.
-    :param body: the caller's JSON.
-    :returns: what goes before and after the deadline, or None when the body is no JSON object.
+    :param action: name of the action to run.
+    :param body: JSON from the caller.
+    :returns: bytes before and after the deadline value, or None if the body is not a JSON object.
     """
     try:
         is_object = isinstance(orjson.loads(body), dict)
--- a/rhubarbhinge/routing/_requestends.py
+++ b/rhubarbhinge/routing/_requestends.py
@@ -1,4 +1,4 @@
-"""Ends of requests: each gets one outcome, or none when its peer gave it up."""
+"""Completion of requests: each gets one outcome, or none if its peer cancelled it."""
 
 from typing import Any
 
@@ -23,13 +23,13 @@
 ) -> None:
     """End a sub-query with a reply.
 
-    :param table: where the request is forgotten.
+    :param table: request table; the request is removed from it.
     :param job: the sub-query, queued or sent.
     :param code: a :class:`rhubarbhinge.wire.SubCode` value.
-    :param retry_after_ms: when to come back, for refusals; else 0.
-    :param body: the searcher's answer, or empty.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param retry_after_ms: retry-after in ms for refusals, otherwise 0.
+    :param body: response body of the searcher, or empty.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     sent_ms = job.sent_ms
     if job.state == Job.QUEUED:
@@ -65,12 +65,12 @@
 ) -> None:
     """End a run with a result.
 
-    :param table: where the request is forgotten.
+    :param table: request table; the request is removed from it.
     :param job: the run, queued or sent.
-    :param kind: how it ended.
-    :param retry_after_ms: when to come back, for refusals; else 0.
-    :param body: the searcher's answer, or empty.
-    :param effects: where effects are put.
+    :param kind: outcome of the run.
+    :param retry_after_ms: retry-after in ms for refusals, otherwise 0.
+    :param body: response body of the searcher, or empty.
+    :param effects: list that effects are appended to.
     """
     if job.state == Job.QUEUED:
         job.upstream.queue.discard(job)
@@ -89,14 +89,14 @@
     now_ms: int,
     effects: list[Any],
 ) -> None:
-    """End a request that got no answer: a run that was sent is unknown, a queued one not run.
+    """End a request without a response: a sent run's outcome is unknown, a queued one was not run.
 
-    :param table: where the request is forgotten.
+    :param table: request table; the request is removed from it.
     :param job: the request, queued or sent.
-    :param code: what a sub-query is answered.
-    :param retry_after_ms: when to come back, for refusals; else 0.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param code: reply code for a sub-query.
+    :param retry_after_ms: retry-after in ms for refusals, otherwise 0.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     if not job.is_run:
         finish_search(table, job, int(code), retry_after_ms, b"", now_ms, effects)
@@ -113,25 +113,25 @@
     now_ms: int,
     effects: list[Any],
 ) -> None:
-    """End all that waits for a searcher.
+    """Fail all requests in a searcher's queue.
 
-    :param table: where the requests are forgotten.
+    :param table: request table; the requests are removed from it.
     :param upstream: the searcher's state.
-    :param code: what sub-queries are answered.
-    :param retry_after_ms: when to come back.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param code: reply code for sub-queries.
+    :param retry_after_ms: retry-after in ms.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     for job in upstream.queue.in_order():
         fail(table, job, code, retry_after_ms, now_ms, effects)
 
 
 def abandon(table: RequestTable, job: Job, effects: list[Any]) -> None:
-    """End a request whose entry has no link; a run that was sent goes on and has a result.
+    """Cancel a request that its entry no longer awaits; a sent run continues and has a result.
 
-    :param table: where the request is forgotten.
+    :param table: request table; the request is removed from it.
     :param job: the request, queued or sent.
-    :param effects: where effects are put.
+    :param effects: list that effects are appended to.
     """
     table.end(job)
     if job.state == Job.QUEUED:
@@ -144,7 +144,7 @@
 
 
 def cancel_effect(job: Job) -> CancelUpstream:
-    """Make the effect that cancels a search at its searcher.
+    """Create the effect that cancels a search at its searcher.
 
     :param job: the sub-query, sent.
     :returns: the effect.
--- a/rhubarbhinge/routing/_requestqueue.py
+++ b/rhubarbhinge/routing/_requestqueue.py
@@ -1,15 +1,15 @@
-"""The queue in front of one searcher."""
+"""Priority queue of one searcher."""
 
 import heapq
 
 from rhubarbhinge.routing._job import Job
 
-#: Ended entries that the queue may hold, besides as many as live ones, before they are swept out.
+#: The heap is compacted once its ended entries exceed its live ones by more than this.
 SWEEP_SLACK = 64
 
 
 class RequestQueue:
-    """Requests in the order of weight, highest first, then deadline, then arrival."""
+    """Requests ordered by weight (highest first), then deadline, then arrival."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, int, Job]] = []
@@ -29,7 +29,7 @@
         counts[job.weight] = counts.get(job.weight, 0) + 1
 
     def first(self) -> Job:
-        """Give the first request; there must be one.
+        """Return the first request without removing it; there must be one.
 
         :returns: the request, still in the queue.
         """
@@ -38,7 +38,7 @@
         return self._heap[0][3]
 
     def pop(self) -> Job:
-        """Take out the first request; there must be one.
+        """Remove and return the first request; there must be one.
 
         :returns: the request.
         """
@@ -48,9 +48,9 @@
         return job
 
     def discard(self, job: Job) -> None:
-        """Take out a request that is to end; its state must still be queued.
+        """Remove a request that ends in the queue; its state must still be queued.
 
-        :param job: the request, which the caller then marks as done.
+        :param job: the request; it is marked as done.
         """
         job.state = Job.DONE
         self._uncount(job)
@@ -59,17 +59,17 @@
             heapq.heapify(self._heap)
 
     def in_order(self) -> list[Job]:
-        """Give all requests.
+        """Return all queued requests.
 
-        :returns: the requests, the first to be sent first.
+        :returns: requests in sending order.
         """
         return [entry[3] for entry in sorted(self._heap) if entry[3].state == Job.QUEUED]
 
     def ahead(self, weight: int) -> int:
-        """Count the requests that a new one would wait for.
+        """Count the requests ahead of a new one.
 
-        :param weight: the new one's weight.
-        :returns: how many have at least that weight.
+        :param weight: weight of the new request.
+        :returns: number of queued requests of at least that weight.
         """
         counts = self._count_by_weight
         if len(counts) == 1 and weight in counts:
--- a/rhubarbhinge/routing/_requesttable.py
+++ b/rhubarbhinge/routing/_requesttable.py
@@ -1,4 +1,4 @@
-"""All requests of a relay that are not done."""
+"""Unfinished requests of a relay, and the tickets of its runs."""
 
 from typing import Any
 
@@ -6,9 +6,9 @@
 
 
 class RequestTable:
-    """Finds requests by the peer that asked, and remembers the tickets of runs.
+    """Indexes requests by the peer that sent them, and records the tickets of runs.
 
-    :param ticket_memory_ms: time for which a ticket is remembered after it came.
+    :param ticket_memory_ms: time for which a ticket is recorded after its arrival.
     """
 
     def __init__(self, ticket_memory_ms: int) -> None:
@@ -18,10 +18,10 @@
         self.of_peer = self._by_peer.get
 
     def of_live_peer(self, peer: str) -> dict[Any, Job]:
-        """Give a peer's requests, for adding.
+        """Return a peer's requests, creating the mapping if necessary.
 
         :param peer: the entry's link.
-        :returns: the requests by key; the mapping itself.
+        :returns: mutable mapping of requests by key.
         """
         found = self._by_peer.get(peer)
         if found is None:
@@ -29,55 +29,55 @@
         return found
 
     def end(self, job: Job) -> None:
-        """Forget a request.
+        """Remove a request.
 
-        :param job: the request; forgotten before is no fault.
+        :param job: the request; it may already have been removed.
         """
         jobs = self._by_peer.get(job.peer)
         if jobs is not None:
             jobs.pop(job.key, None)
 
     def drop_peer(self, peer: str) -> None:
-        """Forget a peer.
+        """Remove a peer and its requests.
 
         :param peer: the entry's link.
         """
         self._by_peer.pop(peer, None)
 
     def is_idle(self) -> bool:
-        """Tell whether nobody waits for anything.
+        """Return whether there is no unfinished request.
 
-        :returns: True when there is no request.
+        :returns: True if there is no unfinished request.
         """
         return not any(self._by_peer.values())
 
     def knows_ticket(self, ticket: str) -> bool:
-        """Tell whether a run came before.
+        """Return whether a run's ticket is recorded.
 
         :param ticket: its ticket.
-        :returns: True unless it is new, was proved not run, or was forgotten by age.
+        :returns: False if it is new, was proved not to have run, or has expired.
         """
         return ticket in self._tickets
 
     def remember_ticket(self, ticket: str, now_ms: int) -> None:
-        """Remember a run.
+        """Record a run's ticket.
 
         :param ticket: its ticket.
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         """
         self._tickets[ticket] = now_ms
 
     def forget_ticket(self, ticket: str) -> None:
-        """Forget a run that is proved not to have run.
+        """Remove the ticket of a run that is proved not to have run.
 
         :param ticket: its ticket.
         """
         self._tickets.pop(ticket, None)
 
     def forget_old_tickets(self, now_ms: int) -> None:
-        """Forget runs by age.
+        """Remove expired tickets.
 
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         """
         oldest_ms = now_ms - self._ticket_memory_ms
         for ticket, came_ms in list(self._tickets.items()):
--- a/rhubarbhinge/routing/_runkind.py
+++ b/rhubarbhinge/routing/_runkind.py
@@ -1,14 +1,14 @@
-"""How a request that must not repeat ended."""
+"""Outcome of a run."""
 
 from enum import StrEnum
 
 
 class RunKind(StrEnum):
-    """How a run ended, as far as the relay can prove it."""
+    """Outcome of a run, as far as the relay can prove it."""
 
-    #: The searcher answered that it ran.
+    #: The searcher confirmed that it ran.
     RAN = "ran"
-    #: No byte was sent, or the searcher said that it was not run.
+    #: No byte was sent, or the searcher confirmed that it was not run.
     REFUSED_NOT_RUN = "refused_not_run"
-    #: It was sent, and nothing proves how it ended.
+    #: It was sent, and its outcome cannot be proved.
     UNKNOWN = "unknown"
--- a/rhubarbhinge/routing/_runresult.py
+++ b/rhubarbhinge/routing/_runresult.py
@@ -1,4 +1,4 @@
-"""Effect: the outcome of a request that must not repeat."""
+"""Effect: report the outcome of a run."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """Tell an entry how its run ended.
+    """Report the outcome of a run to its entry.
 
     :param peer: the entry's link.
     :param ticket: the run's ticket.
-    :param kind: how it ended.
-    :param payload: the searcher's answer, or empty.
-    :param retry_after_ms: when to come back, for refusals; else 0.
+    :param kind: outcome of the run.
+    :param payload: response body of the searcher, or empty.
+    :param retry_after_ms: retry-after in ms for refusals, otherwise 0.
     """
 
     peer: str
--- a/rhubarbhinge/routing/_sending.py
+++ b/rhubarbhinge/routing/_sending.py
@@ -1,4 +1,4 @@
-"""Sends requests to a searcher, at once or from its queue."""
+"""Sends requests to a searcher, directly or from its queue."""
 
 from math import ceil
 from typing import Any
@@ -13,12 +13,12 @@
 
 
 def send_or_queue(upstream: Upstream, job: Job, now_ms: int, effects: list[Any]) -> None:
-    """Send a request that was not refused, or let it wait.
+    """Send an admitted request, or queue it.
 
     :param upstream: the searcher's state.
     :param job: the request.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     pool = upstream.pool
     if pool.idle and upstream.in_flight < upstream.allowed:
@@ -31,12 +31,12 @@
 
 
 def send_queued(table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
-    """Send what waits, as far as there are slots and connections; drop what is too late.
+    """Send queued requests while there are slots and connections; fail those past their deadline.
 
-    :param table: where ended requests are forgotten.
+    :param table: request table; ended requests are removed from it.
     :param upstream: the searcher's state.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     pool = upstream.pool
     queue = upstream.queue
@@ -52,12 +52,12 @@
 
 
 def after_event(table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
-    """Act on whatever may have changed how many requests a searcher gets.
+    """Update a searcher's concurrency limit after an event, then send or fail queued requests.
 
-    :param table: where ended requests are forgotten.
+    :param table: request table; ended requests are removed from it.
     :param upstream: the searcher's state.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     upstream.refresh(now_ms)
     if not upstream.owned:
@@ -72,12 +72,12 @@
 def refuse_hopeless(
     table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]
 ) -> None:
-    """Refuse waiting requests that cannot make it any more, while another replica still can.
+    """Refuse queued requests that can no longer meet their deadline, while a replica still might.
 
-    :param table: where ended requests are forgotten.
+    :param table: request table; ended requests are removed from it.
     :param upstream: the searcher's state.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     if not upstream.queue.count:
         return
--- a/rhubarbhinge/routing/_sendrun.py
+++ b/rhubarbhinge/routing/_sendrun.py
@@ -1,15 +1,15 @@
-"""Effect: send a request that must not repeat."""
+"""Effect: send a run."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class SendRun:
-    """Send ``POST /run`` once; the shell never resends it.
+    """Send ``POST /run`` once; the shell must not resend it.
 
-    :param conn: the connection, idle until now.
+    :param conn: an idle connection.
     :param body: the JSON body.
-    :param timeout_ms: time after which the core stops waiting.
+    :param timeout_ms: time after which the core expires the request.
     """
 
     conn: int
--- a/rhubarbhinge/routing/_sendsearch.py
+++ b/rhubarbhinge/routing/_sendsearch.py
@@ -7,9 +7,9 @@
 class SendSearch:
     """Send ``POST /search``; the core itself expires it and closes the connection.
 
-    :param conn: the connection, idle until now.
+    :param conn: an idle connection.
     :param body: the JSON body.
-    :param timeout_ms: time after which the core stops waiting.
+    :param timeout_ms: time after which the core expires the request.
     """
 
     conn: int
--- a/rhubarbhinge/routing/_sweeps.py
+++ b/rhubarbhinge/routing/_sweeps.py
@@ -1,4 +1,4 @@
-"""The regular look at all owned searchers."""
+"""Periodic sweep over all owned searchers."""
 
 from math import ceil
 from random import Random
@@ -12,12 +12,12 @@
 
 
 class Sweeps:
-    """Polls health, lets ramps and pauses take effect, and refuses what cannot make it.
+    """Polls health, applies ramps and pauses, and refuses requests that cannot meet their deadline.
 
-    :param policy: settings.
-    :param rng: random source, for jitter.
-    :param requests: all requests of the relay.
-    :ivar due_ms: when the next sweep is.
+    :param policy: relay settings.
+    :param rng: random number generator for jitter.
+    :param requests: all unfinished requests of the relay.
+    :ivar due_ms: time of the next sweep.
     """
 
     def __init__(self, policy: RelayPolicy, rng: Random, requests: RequestTable) -> None:
@@ -27,18 +27,18 @@
         self._requests = requests
 
     def soon(self, now_ms: int) -> None:
-        """Sweep within the period for when there is work.
+        """Schedule the next sweep within ``sweep_period_ms``, because there is work.
 
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         """
         self.due_ms = min(self.due_ms, now_ms + self._policy.sweep_period_ms)
 
     def sweep(self, upstreams: list[Upstream], now_ms: int, effects: list[Any]) -> None:
-        """Look at all owned searchers, and plan the next sweep.
+        """Sweep all owned searchers, and schedule the next sweep.
 
-        :param upstreams: their states.
-        :param now_ms: the time.
-        :param effects: where effects are put.
+        :param upstreams: the searchers' states.
+        :param now_ms: current time in ms.
+        :param effects: list that effects are appended to.
         """
         for upstream in upstreams:
             if now_ms >= upstream.health_at_ms:
--- a/rhubarbhinge/routing/_upstream.py
+++ b/rhubarbhinge/routing/_upstream.py
@@ -1,4 +1,4 @@
-"""A searcher as its owning relay sees it."""
+"""A searcher's state at the relay that owns it."""
 
 from math import floor
 from typing import Any
@@ -14,21 +14,21 @@
 from rhubarbhinge.routing._upstreamspec import UpstreamSpec
 from rhubarbhinge.wire import HoldingReport, UpstreamState
 
-#: Lifts products such as 98 * (1 / 49) that rounding has put just below a whole number.
+#: Corrects products such as 98 * (1 / 49) that rounding leaves just below a whole number.
 ROUNDING_SLACK = 1e-9
 
 
 class Upstream:
-    """The state of one searcher: queue, connections, limit, drain and health.
+    """State of one searcher: queue, connections, concurrency limit, drain and health.
 
-    ``allowed`` is how many requests may be in flight; :meth:`refresh` sets it after each event that
-    may change it, so that sending reads a number.
+    ``allowed`` is the number of requests that may be in flight. :meth:`refresh` updates it after
+    each event that may change it, so that sending only reads an attribute.
 
     :param spec: the searcher.
-    :param policy: settings.
+    :param policy: relay settings.
     :param table: all connections of the relay.
-    :param deadlines: what becomes due at the relay.
-    :param now_ms: the time.
+    :param deadlines: deadline queue of the relay.
+    :param now_ms: current time in ms.
     """
 
     def __init__(
@@ -55,15 +55,15 @@
         self.health_failures = 0
         self.incarnation: int | None = None
         self.holding: HoldingReport | None = None
-        #: When its newest incarnation was first heard of; older connections are of another one.
+        #: Time at which its latest incarnation was first seen; older connections belong to another.
         self.started_ms = now_ms
         self.policy = policy
 
     def set_spec(self, spec: UpstreamSpec, effects: list[Any]) -> None:
-        """Take the searcher's entry of another register revision.
+        """Apply the searcher's entry of another register revision.
 
         :param spec: the searcher.
-        :param effects: where effects are put.
+        :param effects: list that effects are appended to.
         """
         self.spec = spec
         self.slots = _share(spec.slots, spec.share)
@@ -71,9 +71,9 @@
         self.pool.resize(spec, _cap(spec, self.policy), effects)
 
     def refresh(self, now_ms: int) -> None:
-        """Set ``allowed``: none while leaving or paused, one to try with while down or silent.
+        """Set ``allowed``: 0 while draining or paused, at most 1 as a probe while down or silent.
 
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         """
         limit = self.limit.value(now_ms)
         if not self.owned or self.drain.draining:
@@ -83,10 +83,10 @@
         self.allowed = limit
 
     def state(self, now_ms: int) -> UpstreamState:
-        """Give the state that entries are told.
+        """Return the state that is reported to entries.
 
-        :param now_ms: the time.
-        :returns: the state; own observation goes before what the searcher says.
+        :param now_ms: current time in ms.
+        :returns: the state; the relay's observations take precedence over the health document.
         """
         if self.drain.draining:
             return UpstreamState.DRAINING
@@ -97,23 +97,23 @@
         return UpstreamState.WARMING if self.limit.is_cold(now_ms) else UpstreamState.READY
 
     def is_settled(self, now_ms: int) -> bool:
-        """Tell whether nothing here changes by time alone: no ramp, pause or missing connection.
+        """Return whether no ramp, pause or missing connection can change the state over time.
 
-        :param now_ms: the time.
-        :returns: True when all its slots and spare connections are there.
+        :param now_ms: current time in ms.
+        :returns: True if all its slots and spare connections are available.
         """
         spare = len(self.pool.idle) >= self.policy.spare_connections
         return spare and self.allowed == self.slots and not self.limit.is_cold(now_ms)
 
     def wait_ms(self, weight: int, now_ms: int) -> float:
-        """Estimate the time until a new request would be sent, or answered when it has to queue.
+        """Estimate the time until a new request is sent, or, if it has to queue, answered.
 
-        With a free slot the service time is left out: the searcher is then tried whatever the
-        estimate says, so that an estimate which is too high corrects itself.
+        With a free slot the service time is left out: the request is then sent whatever the service
+        time estimate, so that an estimate that is too high corrects itself.
 
         :param weight: the request's weight.
-        :param now_ms: the time.
-        :returns: the time in ms.
+        :param now_ms: current time in ms.
+        :returns: time in ms.
         """
         pause_ms = max(0, self.limit.paused_until_ms - now_ms)
         limit = max(1, self.allowed)
@@ -123,17 +123,17 @@
         return pause_ms + (ahead + 1) * self.service_ms / limit + self.service_ms
 
     def observe_service(self, service_ms: int) -> None:
-        """Note how long an answer took.
+        """Update the moving average of the service time.
 
-        :param service_ms: the time from sending to the answer.
+        :param service_ms: time from sending to the response.
         """
         self.service_ms += self.policy.service_gain * (service_ms - self.service_ms)
 
     def observe_timeout(self, waited_ms: int, now_ms: int) -> None:
-        """Note that no answer came; it counts against the searcher only if it had its usual time.
+        """Record a timeout; it counts as a failure only after at least the usual service time.
 
-        :param waited_ms: the time since sending.
-        :param now_ms: the time.
+        :param waited_ms: time since sending.
+        :param now_ms: current time in ms.
         """
         if waited_ms < self.service_ms:
             return
@@ -142,12 +142,12 @@
         self.refresh(now_ms)
 
     def take_health(self, health: HealthDoc, now_ms: int, effects: list[Any]) -> bool:
-        """Take a health document that is not of an older incarnation.
+        """Apply a health document of the current or a newer incarnation.
 
         :param health: the document.
-        :param now_ms: the time.
-        :param effects: where effects are put.
-        :returns: whether what the searcher holds has changed.
+        :param now_ms: current time in ms.
+        :param effects: list that effects are appended to.
+        :returns: whether the searcher's holding report has changed.
         """
         if self.incarnation is not None and health.incarnation > self.incarnation:
             self._start_anew(now_ms, effects)
--- a/rhubarbhinge/routing/_upstreamtable.py
+++ b/rhubarbhinge/routing/_upstreamtable.py
@@ -15,12 +15,12 @@
 
 
 class UpstreamTable:
-    """Follows the register and the VM list.
+    """Tracks searchers through updates of the register and the VM list.
 
-    :param policy: settings.
-    :param requests: all requests of the relay.
+    :param policy: relay settings.
+    :param requests: all unfinished requests of the relay.
     :param connections: all connections of the relay.
-    :param deadlines: what becomes due at the relay.
+    :param deadlines: deadline queue of the relay.
     :ivar revision: the register revision in force, -1 before the first.
     :ivar by_id: the searchers' states.
     """
@@ -42,7 +42,7 @@
         self._drains = DrainMemory()
 
     def owned(self) -> list[Upstream]:
-        """Give the owned searchers.
+        """Return the states of the owned searchers.
 
         :returns: their states.
         """
@@ -51,12 +51,12 @@
     def set_owned(
         self, revision: int, specs: tuple[UpstreamSpec, ...], now_ms: int, effects: list[Any]
     ) -> None:
-        """Take the searchers that the relay owns; an older register revision is ignored.
+        """Update the searchers that the relay owns; an older register revision is ignored.
 
-        :param revision: the register that they come from.
-        :param specs: the searchers.
-        :param now_ms: the time.
-        :param effects: where effects are put.
+        :param revision: revision of the register that lists them.
+        :param specs: searchers that the relay owns.
+        :param now_ms: current time in ms.
+        :param effects: list that effects are appended to.
         """
         if revision < self.revision:
             return
@@ -69,11 +69,11 @@
             self._own(spec, now_ms, effects)
 
     def set_leaving(self, upstream_ids: frozenset[int], now_ms: int, effects: list[Any]) -> None:
-        """Take the searchers whose VMs the platform's list calls leaving.
+        """Update the searchers whose VMs are marked as leaving in the platform's VM list.
 
-        :param upstream_ids: all of them, owned or not.
-        :param now_ms: the time.
-        :param effects: where effects are put.
+        :param upstream_ids: all leaving searchers, owned or not.
+        :param now_ms: current time in ms.
+        :param effects: list that effects are appended to.
         """
         self._leaving = upstream_ids
         for upstream_id, upstream in self.by_id.items():
@@ -81,7 +81,7 @@
             after_event(self._requests, upstream, now_ms, effects)
 
     def forget_if_gone(self, upstream: Upstream) -> None:
-        """Forget a searcher that is not owned any more once its last connection is closed.
+        """Remove a searcher that is no longer owned once its last connection has closed.
 
         :param upstream: the searcher's state.
         """
