--- a/rhubarbhinge/routing/tests/fakeshell.py
+++ b/rhubarbhinge/routing/tests/fakeshell.py
@@ -1,4 +1,4 @@
-"""Carries out a relay core's effects against a fake searcher, and checks each one."""
+"""Applies a relay core's effects to fake searchers, and checks its invariants on each."""
 
 from random import Random
 
@@ -18,10 +18,10 @@
 )
 from rhubarbhinge.wire import CancelBatch, SubBatch, SubCode, upstream_id
 
-RELAY_LIFE = 7
+RELAY_INCARNATION = 7
 NAMES = ("desk-01-a", "desk-02-a")
 IDS = tuple(upstream_id(name) for name in NAMES)
-#: Body of a searcher's refusal.
+#: Response body of a searcher that sheds a request.
 SHED = {"code": "shed", "not_run": True, "retry_after_ms": 50}
 
 
@@ -44,32 +44,32 @@
 
 
 class FakeShell:
-    """Keeps what a searcher would see; raises AssertionError when an invariant is broken."""
+    """Records what searchers would see; raises AssertionError if an invariant is violated."""
 
     def __init__(self, *specs: UpstreamSpec, **policy: int) -> None:
         self.now_ms = 1000
-        self.core = RelayCore(RELAY_LIFE, RelayPolicy(**policy), Random(1))
+        self.core = RelayCore(RELAY_INCARNATION, RelayPolicy(**policy), Random(1))
         self.specs: dict[int, UpstreamSpec] = {}
         self.revision = 0
         self.conns: dict[int, int] = {}
         self.opening: list[int] = []
-        #: Connections opened since the searcher's newest life was heard of.
-        self.current: set[int] = set()
+        #: Connections opened since the searcher's latest incarnation was first seen.
+        self.current_conns: set[int] = set()
         self.closing: list[int] = []
         self.busy: dict[int, dict] = {}
         self.leaving: set[int] = set()
-        self.flagged: set[int] = set()
-        self.asked: dict[tuple, int] = {}
+        self.register_leaving: set[int] = set()
+        self.expected_by_ms: dict[tuple, int] = {}
         self.replies: dict[tuple, Reply] = {}
-        self.given_up: set[tuple] = set()
+        self.cancelled: set[tuple] = set()
         self.sent_tickets: list[str] = []
         self.not_run_answers: set[str] = set()
         self.results: dict[str, RunResult] = {}
         self.cancels: list[str] = []
         self.effects: list = []
         self.next_call = 0
-        self.listed: frozenset[int] = frozenset()
-        self.lives = [1, 1]
+        self.vm_list_leaving: frozenset[int] = frozenset()
+        self.incarnations = [1, 1]
         if specs:
             self.register(*specs)
 
@@ -85,8 +85,8 @@
         self.revision += newer
         self.specs |= {each.upstream_id: each for each in specs}
         if newer:
-            self.flagged.clear()
-        self.flagged |= {each.upstream_id for each in specs if each.leaving}
+            self.register_leaving.clear()
+        self.register_leaving |= {each.upstream_id for each in specs if each.leaving}
         return self.apply(self.core.set_upstreams(self.revision, specs, self.now_ms))
 
     def batch(
@@ -101,7 +101,7 @@
         count = len(places)
         fields = {
             "call_id": self.next_call,
-            "receiver_incarnation": RELAY_LIFE,
+            "receiver_incarnation": RELAY_INCARNATION,
             "register_revision": 1,
             "collection": "overhauls",
             "version": 41,
@@ -116,7 +116,7 @@
             "his": (8192,) * count,
         } | changes
         for part in range(count):
-            self.asked[peer, fields["call_id"], part, 0] = self.now_ms + deadline_ms
+            self.expected_by_ms[peer, fields["call_id"], part, 0] = self.now_ms + deadline_ms
         return self.apply(self.core.on_batch(peer, SubBatch(**fields), self.now_ms))
 
     def run(self, ticket: str, place: int = 0, deadline_ms: int = 200) -> list:
@@ -126,12 +126,12 @@
         return self.apply(effects)
 
     def cancel(self, call_id: int, part: int = 0) -> list:
-        self.given_up |= {("entry", call_id, part, 0)} & self.asked.keys()
+        self.cancelled |= {("entry", call_id, part, 0)} & self.expected_by_ms.keys()
         batch = CancelBatch((call_id,), (part,), (0,))
         return self.apply(self.core.on_cancel("entry", batch, self.now_ms))
 
     def peer_gone(self) -> list:
-        self.given_up |= {key for key in self.asked if key[0] == "entry"}
+        self.cancelled |= {key for key in self.expected_by_ms if key[0] == "entry"}
         return self.apply(self.core.on_peer_gone("entry", self.now_ms))
 
     def connect(self, count: int = 99) -> None:
@@ -147,7 +147,7 @@
         self.busy.pop(conn, None)
         return self.apply(self.core.on_connection_closed(conn, self.now_ms))
 
-    def close_asked(self) -> None:
+    def close_requested(self) -> None:
         for conn in list(self.closing):
             self.close(conn)
 
@@ -160,7 +160,7 @@
         body = (own if status == 200 else {}) | changes
         if changes.get("not_run") and "ticket" in request:
             self.not_run_answers.add(request["ticket"])
-        if conn in self.current and (draining or changes.get("code") == "draining"):
+        if conn in self.current_conns and (draining or changes.get("code") == "draining"):
             self.leaving.add(self.conns[conn])
         data = orjson.dumps(body)
         return self.apply(self.core.on_reply(conn, status, draining, data, self.now_ms))
@@ -172,14 +172,14 @@
 
     def vm_list(self, *places: int) -> list:
         leaving = frozenset(IDS[place] for place in places)
-        self.leaving |= leaving - self.listed
-        self.listed = leaving
+        self.leaving |= leaving - self.vm_list_leaving
+        self.vm_list_leaving = leaving
         return self.apply(self.core.set_leaving(leaving, self.now_ms))
 
     def restarted(self, place: int) -> None:
         self.leaving.discard(IDS[place])
-        self.current -= {conn for conn, name in self.conns.items() if name == IDS[place]}
-        self.health(place, health(place, self.lives[place]))
+        self.current_conns -= {conn for conn, name in self.conns.items() if name == IDS[place]}
+        self.health(place, health(place, self.incarnations[place]))
 
     def wait(self, ms: int, step_ms: int = 10) -> None:
         end_ms = self.now_ms + ms
@@ -212,10 +212,10 @@
         assert effect.conn not in self.conns
         self.conns[effect.conn] = effect.upstream_id
         self.opening.append(effect.conn)
-        self.current.add(effect.conn)
+        self.current_conns.add(effect.conn)
         opened = list(self.conns.values()).count(effect.upstream_id)
         cap = self.specs[effect.upstream_id]
-        assert opened <= max(1, int(cap.connections * cap.share) - 1), "above the connection cap"
+        assert opened <= max(1, int(cap.connections * cap.share) - 1), "connection cap exceeded"
 
     def _closeconnection(self, effect: CloseConnection) -> None:
         assert effect.conn in self.conns and effect.conn not in self.closing
@@ -229,20 +229,22 @@
     def _sendrun(self, effect: SendRun) -> None:
         ticket = self._send(effect)["ticket"]
         if ticket not in self.not_run_answers:
-            assert ticket not in self.sent_tickets, "a run was sent twice"
+            assert ticket not in self.sent_tickets, "run was sent twice"
         self.sent_tickets.append(ticket)
 
     def _send(self, effect: SendSearch | SendRun) -> dict:
         conn = effect.conn
         assert conn in self.conns and conn not in self.opening and conn not in self.closing
-        assert conn not in self.busy, "two requests on one connection"
+        assert conn not in self.busy, "connection already carries a request"
         upstream = self.conns[conn]
-        assert upstream not in self.leaving | self.flagged, "new work for a draining searcher"
+        assert (
+            upstream not in self.leaving | self.register_leaving
+        ), "request sent to a draining searcher"
         self.busy[conn] = request = orjson.loads(effect.body)
         assert 0 < request["deadline_ms"] < effect.timeout_ms
         in_flight = [busy for busy in self.busy if self.conns[busy] == upstream]
         slots = self.specs[upstream].slots * self.specs[upstream].share
-        assert len(in_flight) <= max(1, int(slots)), "above the slots"
+        assert len(in_flight) <= max(1, int(slots)), "slots exceeded"
         return request
 
     def _cancelupstream(self, effect: CancelUpstream) -> None:
@@ -250,8 +252,10 @@
 
     def _reply(self, effect: Reply) -> None:
         key = (effect.peer, effect.call_id, effect.part, effect.attempt)
-        assert key in self.asked and key not in self.replies, "a second reply"
-        assert key not in self.given_up, "a reply to what was given up"
+        assert (
+            key in self.expected_by_ms and key not in self.replies
+        ), "duplicate or unexpected reply"
+        assert key not in self.cancelled, "reply to a cancelled sub-query"
         if effect.code == SubCode.QUEUE_FULL:
             assert effect.retry_after_ms > 0
         self.replies[key] = effect
@@ -259,5 +263,7 @@
     def _runresult(self, effect: RunResult) -> None:
         if effect.kind == "refused_not_run":
             unproved = effect.ticket in self.sent_tickets
-            assert not unproved or effect.ticket in self.not_run_answers, "it was sent"
+            assert (
+                not unproved or effect.ticket in self.not_run_answers
+            ), "run reported as not run after it was sent"
         self.results[effect.ticket] = effect
--- a/rhubarbhinge/routing/tests/test_cells.py
+++ b/rhubarbhinge/routing/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Cells: agreed on by all, balanced, and stable when a relay is lost."""
+"""Cells are deterministic, balanced, and stable when a relay is lost."""
 
 import unittest
 from collections import Counter
@@ -20,7 +20,7 @@
         st.lists(st.text(min_size=1, max_size=5), unique=True, max_size=30),
         st.randoms(use_true_random=False),
     )
-    def test_the_order_of_what_is_known_does_not_matter(self, systems, relays, rng):
+    def test_cells_do_not_depend_on_argument_order(self, systems, relays, rng):
         names = list(systems)
         rng.shuffle(names)
         shuffled = rng.sample(relays, len(relays))
@@ -31,7 +31,7 @@
             self.assertTrue(set(chosen) <= set(relays))
             self.assertTrue(chosen or not relays)
 
-    def test_no_relay_gets_far_more_than_its_share(self):
+    def test_relay_load_is_balanced(self):
         table = CellTable(SYSTEMS, RELAYS)
         load = Counter(
             table.owner(system, f"{system}-{place}")
@@ -46,7 +46,7 @@
         used = {table.owner("system-3", f"system-3-{place}") for place in range(64)}
         self.assertLessEqual(len(used), 6)
 
-    def test_the_loss_of_a_relay_moves_little(self):
+    def test_losing_a_relay_changes_few_cells(self):
         before = cells(SYSTEMS, RELAYS)
         after = cells(SYSTEMS, RELAYS[1:])
         moved = sum(len(set(before[system]) - set(after[system])) for system in SYSTEMS)
--- a/rhubarbhinge/routing/tests/test_ownership.py
+++ b/rhubarbhinge/routing/tests/test_ownership.py
@@ -11,7 +11,9 @@
 class TestOwnership(unittest.TestCase):
     @settings(derandomize=True, deadline=None, database=None)
     @given(st.one_of(st.integers(), st.text()), NAMES, st.integers(0, 9))
-    def test_order_of_names_does_not_matter_and_a_loss_moves_only_its_own(self, key, names, count):
+    def test_order_of_names_is_irrelevant_and_a_loss_moves_only_its_own_keys(
+        self, key, names, count
+    ):
         chosen = rendezvous(key, names, count)
         self.assertEqual(chosen, rendezvous(key, tuple(reversed(names)), count))
         self.assertEqual(len(chosen), min(count, len(names)))
@@ -26,7 +28,7 @@
         relays.remove(owner)
         self.assertEqual(owners("desk-01-a", relays)[0], standby)
 
-    def test_with_too_few_relays_places_are_empty(self):
+    def test_with_too_few_relays_missing_owners_are_none(self):
         self.assertEqual(owners("x", ()), (None, None))
         self.assertEqual(owners("x", ("a",)), ("a", None))
 
--- a/rhubarbhinge/routing/tests/test_relaycore.py
+++ b/rhubarbhinge/routing/tests/test_relaycore.py
@@ -39,7 +39,7 @@
             order += [effect.call_id for effect in shell.answer() if hasattr(effect, "code")]
         self.assertEqual(order, [1, 1, 4, 3, 2])
 
-    def test_what_cannot_make_it_is_refused_at_once_with_a_retry_after(self):
+    def test_requests_that_cannot_meet_their_deadline_are_refused_with_a_retry_after(self):
         shell = warm()
         shell.batch(0, *([0] * 11), deadline_ms=60)
         refused = [reply for reply in shell.replies.values() if reply.code == SubCode.QUEUE_FULL]
@@ -53,25 +53,25 @@
         shell.batch(0, deadline_ms=60)
         self.assertEqual(len(shell.busy), 1)
 
-    def test_a_queue_has_a_bound(self):
+    def test_queue_limit_is_enforced(self):
         shell = warm(queue_limit=3)
         shell.batch(*([0] * 6), deadline_ms=9000)
         self.assertEqual(shell.codes(), [SubCode.QUEUE_FULL])
 
-    def test_a_searcher_that_slows_down_has_its_hopeless_requests_refused_early(self):
+    def test_a_slower_searcher_has_requests_refused_before_their_deadline(self):
         shell = warm()
         shell.batch(0, 0, 0, 0, 0, 0, deadline_ms=100)
         shell.core._upstreams.by_id[spec(0).upstream_id].service_ms = 70.0
         shell.wait(20)
         self.assertEqual(set(shell.codes()), {SubCode.QUEUE_FULL})
 
-    def test_a_batch_for_another_life_or_another_owner_is_refused(self):
+    def test_a_batch_for_another_incarnation_or_another_owner_is_refused(self):
         shell = warm()
         shell.batch(0, receiver_incarnation=8)
         shell.batch(1)
         self.assertEqual(shell.codes(), [SubCode.WRONG_RECEIVER] * 2)
 
-    def test_a_removed_searcher_answers_its_queue_and_ends_what_is_in_flight(self):
+    def test_removing_a_searcher_fails_its_queue_and_completes_requests_in_flight(self):
         shell = warm()
         shell.batch(0, 0, 0)
         shell.register()
@@ -81,7 +81,7 @@
         self.assertEqual(shell.codes()[1:], [SubCode.ANSWERED] * 2)
         self.assertEqual(set(shell.conns), set(shell.closing))
 
-    def test_open_work_counts_what_was_handed_over(self):
+    def test_open_work_counts_requests_at_searchers_handed_over(self):
         shell = warm()
         shell.batch(0)
         shell.register()
@@ -89,7 +89,7 @@
         shell.answer()
         self.assertEqual(shell.core.open_work(), 0)
 
-    def test_lists_of_unequal_length_cost_the_link(self):
+    def test_columns_of_unequal_length_close_the_link(self):
         shell = warm()
         self.assertEqual(shell.batch(0, los=()), [DropPeer("entry", "malformed")])
 
@@ -100,7 +100,7 @@
         self.assertEqual(shell.report()["in_flight"], 2)
         self.assertIsInstance(shell.answer()[0], SendSearch)
 
-    def test_equal_numbers_of_two_entries_are_kept_apart(self):
+    def test_equal_call_ids_of_two_entries_do_not_collide(self):
         shell = warm()
         shell.batch(0, peer="entry", call_id=5)
         shell.batch(0, peer="other", call_id=5)
@@ -111,7 +111,7 @@
         shell.peer_gone()
         self.assertEqual(shell.answer(first), [])
 
-    def test_a_gone_peer_leaves_nothing_queued_and_cancels_what_is_in_flight(self):
+    def test_a_disconnected_peer_has_its_requests_cancelled(self):
         shell = warm()
         shell.batch(0, 0, 0)
         self.assertEqual(len(shell.peer_gone()), 2)
@@ -119,7 +119,7 @@
 
 
 class TestAnswers(unittest.TestCase):
-    def test_a_late_answer_is_dropped_and_its_connection_closed(self):
+    def test_a_late_response_is_dropped_and_its_connection_closed(self):
         shell = warm()
         shell.batch(0, deadline_ms=50)
         conn = next(iter(shell.busy))
@@ -128,7 +128,7 @@
         self.assertEqual(shell.report()["in_flight"], 1)
         self.assertEqual(shell.answer(), [CloseConnection(conn)])
 
-    def test_without_any_answer_the_connection_is_closed_later(self):
+    def test_a_timed_out_connection_is_closed_after_late_answer_ms(self):
         shell = warm()
         shell.batch(0, deadline_ms=50)
         conn = next(iter(shell.busy))
@@ -138,7 +138,7 @@
         shell.close(conn)
         self.assertEqual(shell.report()["in_flight"], 0)
 
-    def test_an_answer_to_another_call_is_broken_and_closes_the_connection(self):
+    def test_a_response_to_another_call_is_invalid_and_closes_the_connection(self):
         for body in ({"call": "7.999"}, {"call": None}, {"hits": []}):
             shell = warm()
             shell.batch(0)
@@ -147,7 +147,7 @@
             self.assertIn(CloseConnection(conn), shell.answer(**body))
             self.assertEqual(shell.codes(), [SubCode.BROKEN])
 
-    def test_refusals_have_codes(self):
+    def test_refusals_map_to_reply_codes(self):
         cases = {
             (409, "version-gone"): SubCode.VERSION_GONE,
             (409, "range-moved"): SubCode.RANGE_MOVED,
@@ -164,7 +164,7 @@
 
 
 class TestConcurrency(unittest.TestCase):
-    def test_a_ramp_on_a_clock_with_fractions_opens_connections(self):
+    def test_a_fractional_clock_gives_a_whole_number_of_slots(self):
         shell = FakeShell(spec(0, slots=4, connections=20))
         shell.connect()
         shell.health(0, health(0))
@@ -175,7 +175,7 @@
         shell.answer()
         self.assertIsInstance(shell.report()["slots"], int)
 
-    def test_a_cold_searcher_gets_one_request_then_more(self):
+    def test_a_cold_searcher_ramps_up_from_one_slot(self):
         shell = FakeShell(spec(0, slots=4))
         shell.connect()
         shell.wait(20)
@@ -185,7 +185,7 @@
             shell.wait(500)
         self.assertEqual(slots, [1, 2, 3, 4, 4])
 
-    def test_a_warming_searcher_and_a_new_life_start_the_ramp_anew(self):
+    def test_a_warming_searcher_and_a_new_incarnation_restart_the_ramp(self):
         shell = warm()
         shell.health(0, health(0, 1, "warming"))
         shell.wait(3000)
@@ -197,7 +197,7 @@
         shell.health(0, health(0, 2))
         self.assertEqual(shell.report()["slots"], 1)
 
-    def test_a_shed_answer_is_passed_on_and_halves_the_limit_for_a_while(self):
+    def test_a_shed_response_is_forwarded_and_halves_the_limit_temporarily(self):
         shell = warm()
         shell.batch(0, 0, 0)
         reply = shell.answer(status=503, **SHED)[0]
@@ -208,13 +208,13 @@
         shell.wait(30)
         self.assertEqual(shell.report()["slots"], 2)
 
-    def test_a_shed_answer_without_a_retry_after_gets_one(self):
+    def test_a_shed_response_without_a_retry_after_gets_one(self):
         shell = FakeShell(spec(0, slots=1)).warm()
         shell.batch(0)
         reply = shell.answer(status=503, code="shed")[0]
         self.assertEqual(reply.retry_after_ms, 50)
 
-    def test_requests_sent_before_the_limit_was_lowered_lower_it_once(self):
+    def test_requests_sent_before_the_limit_was_lowered_lower_it_only_once(self):
         shell = FakeShell(spec(0, slots=8, connections=25)).warm()
         shell.batch(*[0] * 8)
         shell.connect()
@@ -224,7 +224,7 @@
             shell.answer(status=503, **SHED)
         self.assertEqual(shell.report()["slots"], 4)
 
-    def test_shed_answers_at_a_limit_of_one_pause_the_searcher_ever_longer(self):
+    def test_shed_responses_at_a_limit_of_one_pause_with_exponential_back_off(self):
         shell = FakeShell(spec(0, slots=1), sweep_period_ms=1).warm()
         pauses = []
         for retry_after_ms in (0, 0, 0, 0, 350):
@@ -236,13 +236,13 @@
             pauses.append(shell.now_ms - started_ms)
         self.assertEqual(pauses, [50, 100, 200, 200, 350])
 
-    def test_timeouts_count_for_more_than_a_health_that_says_ready(self):
+    def test_timeouts_take_precedence_over_a_ready_health_document(self):
         shell = warm()
         for _ in range(3):
             shell.batch(0, deadline_ms=100)
             shell.connect()
             shell.wait(400)
-            shell.close_asked()
+            shell.close_requested()
             shell.connect()
         self.assertEqual(shell.report()["states"], UpstreamState.DOWN)
         self.assertEqual(shell.report()["slots"], 1)
@@ -270,29 +270,29 @@
         shell = self.drained(lambda shell: shell.register(spec(0, leaving=True)))
         shell.health(0, health(0, 2))
         self.assertEqual(shell.report()["states"], UpstreamState.DRAINING)
-        shell.close_asked()
+        shell.close_requested()
         self.assertIsInstance(shell.register(spec(0))[0], OpenConnection)
 
-    def test_by_the_vm_list_until_a_newer_life_though_the_list_lags(self):
+    def test_by_the_vm_list_until_a_newer_incarnation_though_the_list_lags(self):
         shell = self.drained(lambda shell: shell.vm_list(0))
         shell.vm_list()
         shell.register(spec(0))
         self.assertEqual(shell.report()["states"], UpstreamState.DRAINING)
         shell.vm_list(0)
-        shell.lives[0] = 2
+        shell.incarnations[0] = 2
         shell.restarted(0)
         shell.vm_list(0)
         self.assertEqual(shell.report()["states"], UpstreamState.WARMING)
 
-    def test_by_health_until_a_newer_life(self):
+    def test_by_health_until_a_newer_incarnation(self):
         shell = self.drained(lambda shell: shell.health(0, health(0, 1, "draining")))
         shell.health(0, health(0, 2))
         self.assertEqual(shell.report()["states"], UpstreamState.WARMING)
 
-    def test_by_the_header_of_any_answer(self):
+    def test_by_the_header_of_any_response(self):
         self.drained(lambda shell: shell.answer(draining=True))
 
-    def test_by_the_header_of_a_health_answer(self):
+    def test_by_the_header_of_a_health_response(self):
         upstream_id = spec(0).upstream_id
 
         def signal(shell: FakeShell) -> None:
@@ -302,30 +302,30 @@
 
         self.drained(signal)
 
-    def test_a_late_answer_of_an_older_life_does_not_drain_the_new_one(self):
+    def test_a_late_response_of_an_older_incarnation_does_not_drain_the_new_one(self):
         shell = warm()
         shell.batch(0)
-        shell.lives[0] = 2
+        shell.incarnations[0] = 2
         shell.restarted(0)
         shell.answer(draining=True)
         self.assertEqual(shell.report()["states"], UpstreamState.WARMING)
-        shell.close_asked()
+        shell.close_requested()
         shell.connect()
         shell.batch(0)
         self.assertEqual(len(shell.busy), 1)
 
-    def test_by_a_refusal_that_says_so(self):
+    def test_by_a_refusal_with_the_draining_code(self):
         self.drained(lambda shell: shell.answer(status=503, code="draining"))
 
-    def test_an_older_life_in_health_undoes_nothing(self):
+    def test_health_of_an_older_incarnation_does_not_clear_the_drain(self):
         shell = self.drained(lambda shell: shell.answer(draining=True))
         shell.health(0, health(0, 0))
         self.assertEqual(shell.report()["states"], UpstreamState.DRAINING)
 
-    def test_a_drain_outlasts_a_change_of_owner(self):
+    def test_a_drain_persists_across_a_change_of_owner(self):
         shell = self.drained(lambda shell: shell.vm_list(0))
         shell.register()
-        shell.close_asked()
+        shell.close_requested()
         shell.register(spec(0))
         self.assertEqual(shell.report()["states"], UpstreamState.DRAINING)
 
@@ -338,7 +338,7 @@
         self.assertEqual(len(shell.batch(0)), 2)
         self.assertEqual(len(shell.opening), 1)
 
-    def test_failed_connections_answer_the_queue_and_are_retried_one_at_a_time(self):
+    def test_failed_connections_fail_the_queue_and_are_retried_one_at_a_time(self):
         shell = FakeShell(spec(0))
         shell.batch(0)
         for conn in list(shell.opening):
@@ -350,7 +350,7 @@
         shell.wait(60)
         self.assertEqual(len(shell.opening), 1)
 
-    def test_a_connection_that_does_not_open_is_given_up(self):
+    def test_a_connection_that_does_not_open_times_out(self):
         shell = FakeShell(spec(0))
         shell.wait(110)
         self.assertEqual(len(shell.closing), 2)
@@ -360,10 +360,10 @@
         shell.batch(0, 0)
         shell.connect()
         shell.register(spec(0, connections=2))
-        shell.close_asked()
+        shell.close_requested()
         self.assertEqual(len(shell.conns), 2)
         shell.answer()
-        shell.close_asked()
+        shell.close_requested()
         shell.answer()
         self.assertEqual(len(shell.conns), 1)
 
@@ -394,7 +394,7 @@
         shell.health(0, health(0))
         self.assertEqual(shell.report()["states"], UpstreamState.READY)
 
-    def test_answers_count_for_more_than_a_failing_health_endpoint(self):
+    def test_responses_take_precedence_over_a_failing_health_endpoint(self):
         shell = warm()
         shell.batch(0)
         shell.answer()
@@ -403,7 +403,7 @@
         self.assertEqual(shell.report()["states"], UpstreamState.READY)
         self.assertEqual(shell.report()["slots"], 2)
 
-    def test_an_older_life_is_ignored(self):
+    def test_health_of_an_older_incarnation_is_ignored(self):
         shell = warm()
         shell.health(0, health(0, 2))
         shell.core.on_health(spec(0).upstream_id, health(0, 1, "draining"), shell.now_ms)
--- a/rhubarbhinge/routing/tests/test_runs.py
+++ b/rhubarbhinge/routing/tests/test_runs.py
@@ -12,7 +12,7 @@
     def kind(self, shell: FakeShell, ticket: str = "t") -> RunKind:
         return shell.results[ticket].kind
 
-    def test_an_answer_with_the_ticket_ran(self):
+    def test_a_response_with_the_ticket_confirms_the_run(self):
         shell = warm()
         shell.run("t")
         request = next(iter(shell.busy.values()))
@@ -28,14 +28,14 @@
         shell.answer()
         self.assertEqual(shell.sent_tickets, ["t"])
 
-    def test_a_refusal_in_so_many_words_was_not_run(self):
+    def test_an_explicit_refusal_was_not_run(self):
         shell = warm()
         shell.run("t")
         shell.answer(status=503, **SHED)
         self.assertEqual(self.kind(shell), RunKind.REFUSED_NOT_RUN)
         self.assertEqual(shell.results["t"].retry_after_ms, 50)
 
-    def test_other_answers_prove_nothing(self):
+    def test_inconclusive_responses_give_an_unknown_outcome(self):
         for status, body in (
             (503, {"code": "shed"}),
             (503, {"not_run": "yes"}),
@@ -48,7 +48,7 @@
             shell.answer(status=status, **body)
             self.assertEqual(self.kind(shell), RunKind.UNKNOWN, (status, body))
 
-    def test_a_lost_connection_or_a_timeout_proves_nothing_and_sends_nothing_again(self):
+    def test_a_lost_connection_or_a_timeout_is_unknown_and_not_resent(self):
         for end in (lambda shell: shell.close(next(iter(shell.busy))), lambda s: s.wait(300)):
             shell = warm()
             shell.run("t")
@@ -60,7 +60,7 @@
             self.assertEqual(shell.sent_tickets, ["t"])
             self.assertEqual(self.kind(shell), RunKind.UNKNOWN)
 
-    def test_what_was_never_sent_was_not_run(self):
+    def test_an_unsent_run_is_reported_as_not_run(self):
         ends = {
             "expired in the queue": lambda shell: shell.wait(210),
             "draining": lambda shell: shell.vm_list(0),
@@ -74,7 +74,7 @@
             self.assertEqual(self.kind(shell), RunKind.REFUSED_NOT_RUN, name)
             self.assertEqual(shell.sent_tickets, [])
 
-    def test_a_refused_connection_was_not_run_and_may_be_tried_again(self):
+    def test_a_run_with_a_refused_connection_was_not_run_and_may_be_retried(self):
         shell = FakeShell(spec(0))
         shell.run("t")
         for conn in list(shell.opening):
@@ -85,13 +85,13 @@
         shell.run("t")
         self.assertEqual(shell.sent_tickets, ["t"])
 
-    def test_a_body_that_is_no_object_is_refused(self):
+    def test_a_body_that_is_not_a_json_object_is_refused(self):
         shell = warm()
         for body in (b"", b"{", b"[]", b'{"a":1}}'):
             effects = shell.core.on_run("entry", "t", spec(0).upstream_id, "x", body, 99, 5000)
             self.assertEqual([effect.kind for effect in effects], [RunKind.REFUSED_NOT_RUN])
 
-    def test_a_gone_peer_drops_a_queued_run_and_lets_a_sent_one_end(self):
+    def test_a_disconnected_peer_drops_a_queued_run_but_not_a_sent_one(self):
         shell = warm()
         for ticket in ("t1", "t2", "t3"):
             shell.run(ticket)
--- a/rhubarbhinge/routing/tests/test_schedules.py
+++ b/rhubarbhinge/routing/tests/test_schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules: the invariants hold whatever happens, in whatever order."""
+"""Property tests: the relay's invariants hold under random schedules of events."""
 
 import unittest
 
@@ -22,9 +22,9 @@
         for name, number in steps:
             step(shell, name, number)
         shell.wait(500)
-        shell.close_asked()
+        shell.close_requested()
         shell.wait(500)
-        lost = shell.asked.keys() - shell.replies.keys() - shell.given_up
+        lost = shell.expected_by_ms.keys() - shell.replies.keys() - shell.cancelled
         self.assertEqual(lost, set())
         self.assertTrue(shell.core.is_idle())
         self.assertEqual(shell.report_sum("queued"), 0)
@@ -36,12 +36,13 @@
         for name, number in steps:
             step(shell, name, number)
             shell.wait(1)
-            late = [key for key, due_ms in shell.asked.items() if due_ms < shell.now_ms]
+            late = [key for key, due_ms in shell.expected_by_ms.items() if due_ms < shell.now_ms]
             unanswered = [key for key in late if key not in shell.replies]
-            self.assertLessEqual(set(unanswered), shell.given_up)
+            self.assertLessEqual(set(unanswered), shell.cancelled)
 
 
 def step(shell: FakeShell, name: str, number: int) -> None:
+    """Apply one event; events with several letters are drawn more often."""
     place = number % 2
     busy = sorted(shell.busy.keys() - set(shell.closing))
     conn = busy[number % len(busy)] if busy else None
@@ -60,13 +61,13 @@
     elif name == "j" and number < 3 and shell.opening:
         shell.close(shell.opening[0])
     elif name == "k":
-        shell.close_asked()
+        shell.close_requested()
     elif name == "l" and number < 5 and shell.conns:
         shell.close(sorted(shell.conns)[number % len(shell.conns)])
     elif name in "mn" and busy:
         shell.answer(conn)
     elif name == "o" and busy:
-        _odd_answer(shell, conn, number)
+        _unusual_answer(shell, conn, number)
     elif name in "pq":
         shell.wait((1, 3, 5, 10, 20, 50, 100, 300)[number])
     elif name == "r":
@@ -77,7 +78,7 @@
         _restart(shell, place)
 
 
-def _odd_answer(shell: FakeShell, conn: int, number: int) -> None:
+def _unusual_answer(shell: FakeShell, conn: int, number: int) -> None:
     if number < 3:
         shell.answer(conn, 503, **SHED)
     elif number == 3:
@@ -110,7 +111,7 @@
     if IDS[place] not in owned:
         return
     if number < 2:
-        shell.health(place, health(place, shell.lives[place], "draining"))
+        shell.health(place, health(place, shell.incarnations[place], "draining"))
     elif number < 4:
         shell.vm_list(place)
     else:
@@ -118,7 +119,7 @@
 
 
 def _restart(shell: FakeShell, place: int) -> None:
-    shell.lives[place] += 1
+    shell.incarnations[place] += 1
     shell.restarted(place)
 
 
