--- a/rhubarbhinge/routing/_refusals.py
+++ b/rhubarbhinge/routing/_admission.py
@@ -7,7 +7,9 @@
 from rhubarbhinge.wire import SubCode
 
 
-def refusal(upstream: Upstream | None, weight: int, due_ms: int, now_ms: int) -> Refusal | None:
+def check_admission(
+    upstream: Upstream | None, weight: int, due_ms: int, now_ms: int
+) -> Refusal | None:
     """Decide whether to refuse a request on arrival, so that its entry can try a replica in time.
 
     :param upstream: the searcher's state, None if it is not known.
--- a/rhubarbhinge/routing/_cells.py
+++ b/rhubarbhinge/routing/_cells.py
@@ -13,7 +13,7 @@
 from rhubarbhinge.routing._ownership import owners, rendezvous
 
 #: Minimum size of a cell, so that the loss of one relay leaves another.
-_LEAST_CELL = 2
+_MIN_CELL_SIZE = 2
 #: Maximum load of a relay, as a multiple of its even share of searchers. 1.25 is the usual bound of
 #: consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018).
 _LOAD_BOUND = 1.25
@@ -37,13 +37,13 @@
         return dict.fromkeys(searchers_by_system, ())
     total = sum(searchers_by_system.values())
     per_relay = max(1.0, total / len(relays))
-    most = ceil(per_relay * _LOAD_BOUND)
+    max_load = ceil(per_relay * _LOAD_BOUND)
     load = dict.fromkeys(relays, 0.0)
     found = {}
     for system in sorted(searchers_by_system):
         count = searchers_by_system[system]
-        size = min(len(relays), max(_LEAST_CELL, ceil(count / per_relay)))
-        chosen = _choose(system, relays, load, most, size, count / size)
+        size = min(len(relays), max(_MIN_CELL_SIZE, ceil(count / per_relay)))
+        chosen = _choose(system, relays, load, max_load, size, count / size)
         for relay in chosen:
             load[relay] += count / size
         found[system] = chosen
@@ -54,11 +54,11 @@
     system: str,
     relays: Sequence[str],
     load: Mapping[str, float],
-    most: float,
+    max_load: float,
     size: int,
     share: float,
 ) -> tuple[str, ...]:
-    free = [relay for relay in relays if load[relay] + share <= most]
+    free = [relay for relay in relays if load[relay] + share <= max_load]
     chosen = rendezvous(system, free, size) if free else ()
     if len(chosen) == size:
         return chosen
--- a/rhubarbhinge/routing/_requestends.py
+++ b/rhubarbhinge/routing/_completion.py
@@ -36,7 +36,7 @@
         job.upstream.queue.discard(job)
         sent_ms = now_ms
     job.state = Job.DONE
-    table.end(job)
+    table.remove(job)
     call_id, part, attempt = job.key
     queue_ms = sent_ms - job.queued_ms
     service_ms = now_ms - sent_ms
@@ -75,9 +75,9 @@
     if job.state == Job.QUEUED:
         job.upstream.queue.discard(job)
     job.state = Job.DONE
-    table.end(job)
+    table.remove(job)
     if kind is RunKind.REFUSED_NOT_RUN:
-        table.forget_ticket(job.key)
+        table.remove_ticket(job.key)
     effects.append(RunResult(job.peer, job.key, kind, body, retry_after_ms))
 
 
@@ -126,18 +126,18 @@
         fail(table, job, code, retry_after_ms, now_ms, effects)
 
 
-def abandon(table: RequestTable, job: Job, effects: list[Any]) -> None:
+def cancel_request(table: RequestTable, job: Job, effects: list[Any]) -> None:
     """Cancel a request that its entry no longer awaits; a sent run continues and has a result.
 
     :param table: request table; the request is removed from it.
     :param job: the request, queued or sent.
     :param effects: list that effects are appended to.
     """
-    table.end(job)
+    table.remove(job)
     if job.state == Job.QUEUED:
         job.upstream.queue.discard(job)
         if job.is_run:
-            table.forget_ticket(job.key)
+            table.remove_ticket(job.key)
     elif not job.is_run:
         job.state = Job.DONE
         effects.append(cancel_effect(job))
--- a/rhubarbhinge/routing/_concurrency.py
+++ b/rhubarbhinge/routing/_concurrency.py
@@ -3,7 +3,7 @@
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 
 #: Maximum doublings of the pause; the pause cap applies by then.
-MOST_DOUBLINGS = 10
+MAX_DOUBLINGS = 10
 #: Number of additive increases that raise the limit from zero to all slots.
 RAISE_STEPS = 4
 
@@ -108,11 +108,11 @@
             self._raise_at_ms = now_ms + self._policy.shed_raise_ms
         if self._is_warming(now_ms):
             return 1
-        return min(self._ceiling, self._ramped(now_ms))
+        return min(self._ceiling, self._ramp_limit(now_ms))
 
     def _pause(self, retry_after_ms: int, now_ms: int) -> None:
         pause_ms = self._policy.least_pause_ms << self._pauses
-        self._pauses = min(self._pauses + 1, MOST_DOUBLINGS)
+        self._pauses = min(self._pauses + 1, MAX_DOUBLINGS)
         pause_ms = max(retry_after_ms, min(pause_ms, self._policy.most_pause_ms))
         self.paused_until_ms = now_ms + pause_ms
         self._lowered_ms = self.paused_until_ms
@@ -122,7 +122,7 @@
         since_ms = self._warming_since_ms
         return since_ms is not None and now_ms - since_ms < self._policy.most_warming_ms
 
-    def _ramped(self, now_ms: int) -> int:
+    def _ramp_limit(self, now_ms: int) -> int:
         elapsed_ms = now_ms - self._ramp_start_ms
         if elapsed_ms >= self._policy.ramp_ms:
             return self._slots
--- a/rhubarbhinge/routing/_connectionpool.py
+++ b/rhubarbhinge/routing/_connectionpool.py
@@ -12,7 +12,7 @@
 from rhubarbhinge.routing._upstreamspec import UpstreamSpec
 
 #: Maximum doublings of the delay after failed connections; the delay cap applies by then.
-MOST_DOUBLINGS = 16
+MAX_DOUBLINGS = 16
 #: Connect timeout as a multiple of the searcher's usual connect time.
 CONNECT_TIME_FACTOR = 10
 
@@ -91,7 +91,7 @@
             return 0
         return max(0, self._not_before_ms - now_ms) + self._spec.connect_ms
 
-    def keep_ready(self, waiting: int, now_ms: int, effects: list[Any]) -> None:
+    def open_missing(self, waiting: int, now_ms: int, effects: list[Any]) -> None:
         """Open missing connections: one for each sendable request, and the spare ones.
 
         While connection attempts fail, only one is made at a time.
@@ -109,7 +109,7 @@
         for _ in range(min(missing, room)):
             self._open(now_ms, effects)
 
-    def take(self, job: Job) -> Connection:
+    def assign(self, job: Job) -> Connection:
         """Assign a request to the most recently used idle connection; there must be one.
 
         :param job: the request.
@@ -120,7 +120,7 @@
         job.connection = connection
         return connection
 
-    def opened(self, connection: Connection, effects: list[Any]) -> None:
+    def on_opened(self, connection: Connection, effects: list[Any]) -> None:
         """Record that a connection is open.
 
         :param connection: the connection.
@@ -130,7 +130,7 @@
         self._opening -= 1
         self.release(connection, effects)
 
-    def served(self, connection: Connection) -> None:
+    def on_response(self, connection: Connection) -> None:
         """Record a response; on a connection opened after the last failure, it ends the back-off.
 
         :param connection: the connection.
@@ -173,7 +173,7 @@
             if connection.job is None:
                 self.close(connection, effects)
 
-    def closed(self, connection: Connection, now_ms: int) -> None:
+    def on_closed(self, connection: Connection, now_ms: int) -> None:
         """Record that a connection is closed, failed to open, or was refused.
 
         :param connection: the connection.
@@ -185,17 +185,17 @@
             self.idle.remove(connection)
         if not connection.open:
             self._opening -= 1
-        if not connection.retired and self._was_useless(connection, now_ms):
+        if not connection.retired and self._is_failed_attempt(connection, now_ms):
             self._back_off(connection, now_ms)
 
-    def _was_useless(self, connection: Connection, now_ms: int) -> bool:
+    def _is_failed_attempt(self, connection: Connection, now_ms: int) -> bool:
         short = now_ms - connection.opened_ms < self._policy.least_connection_life_ms
         return not connection.open or (short and not connection.served)
 
     def _back_off(self, connection: Connection, now_ms: int) -> None:
         if self._failures and connection.opened_ms <= self._failed_ms:
             return
-        wait_ms = self._policy.least_connect_wait_ms << min(self._failures, MOST_DOUBLINGS)
+        wait_ms = self._policy.least_connect_wait_ms << min(self._failures, MAX_DOUBLINGS)
         self._failures += 1
         self._failed_ms = now_ms
         self._not_before_ms = now_ms + min(wait_ms, self._policy.most_connect_wait_ms)
--- a/rhubarbhinge/routing/_drainmemory.py
+++ b/rhubarbhinge/routing/_draincache.py
@@ -3,16 +3,16 @@
 from rhubarbhinge.routing._drainstate import DrainState
 
 #: Maximum number of entries; an evicted searcher itself reports again that it is leaving.
-MOST_REMEMBERED = 10_000
+MAX_ENTRIES = 10_000
 
 
-class DrainMemory:
+class DrainCache:
     """Stores a leaving searcher's signals and incarnation in case the relay owns it again."""
 
     def __init__(self) -> None:
-        self._kept: dict[int, tuple[DrainState, int | None]] = {}
+        self._entries: dict[int, tuple[DrainState, int | None]] = {}
 
-    def keep(self, upstream_id: int, drain: DrainState, incarnation: int | None) -> None:
+    def store(self, upstream_id: int, drain: DrainState, incarnation: int | None) -> None:
         """Store a searcher's state if it is leaving.
 
         :param upstream_id: the searcher.
@@ -21,14 +21,14 @@
         """
         if not drain.draining:
             return
-        if len(self._kept) >= MOST_REMEMBERED:
-            del self._kept[next(iter(self._kept))]
-        self._kept[upstream_id] = drain, incarnation
+        if len(self._entries) >= MAX_ENTRIES:
+            del self._entries[next(iter(self._entries))]
+        self._entries[upstream_id] = drain, incarnation
 
-    def take(self, upstream_id: int) -> tuple[DrainState, int | None]:
+    def pop(self, upstream_id: int) -> tuple[DrainState, int | None]:
         """Remove and return a searcher's stored state.
 
         :param upstream_id: the searcher.
         :returns: drain signals and incarnation; no signals and None for an unknown searcher.
         """
-        return self._kept.pop(upstream_id, None) or (DrainState(), None)
+        return self._entries.pop(upstream_id, None) or (DrainState(), None)
--- a/rhubarbhinge/routing/_expiry.py
+++ b/rhubarbhinge/routing/_expiry.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
+from rhubarbhinge.routing._completion import cancel_effect, fail
 from rhubarbhinge.routing._connection import Connection
 from rhubarbhinge.routing._deadlines import Deadlines
 from rhubarbhinge.routing._job import Job
-from rhubarbhinge.routing._requestends import cancel_effect, fail
 from rhubarbhinge.routing._requesttable import RequestTable
 from rhubarbhinge.wire import SubCode
 
--- a/rhubarbhinge/routing/_healthdoc.py
+++ b/rhubarbhinge/routing/_healthdoc.py
@@ -23,7 +23,7 @@
     holding: HoldingReport
 
 
-def health_doc(upstream_id: int, name: str, doc: Any) -> HealthDoc | None:
+def parse_health_doc(upstream_id: int, name: str, doc: Any) -> HealthDoc | None:
     """Validate a health document.
 
     :param upstream_id: the searcher's number.
--- a/rhubarbhinge/routing/_intake.py
+++ b/rhubarbhinge/routing/_intake.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
+from rhubarbhinge.routing._admission import check_admission
 from rhubarbhinge.routing._deadlines import Deadlines
 from rhubarbhinge.routing._job import Job
 from rhubarbhinge.routing._refusal import Refusal
-from rhubarbhinge.routing._refusals import refusal
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._reply import Reply
 from rhubarbhinge.routing._requesttable import RequestTable
@@ -58,13 +58,13 @@
         :param now_ms: current time in ms.
         :returns: effects to carry out.
         """
-        self._sweeps.soon(now_ms)
+        self._sweeps.request_sweep(now_ms)
         effects: list[Any] = []
         call_id = batch.call_id
         weight = batch.weight
         due_ms = self._due_ms(batch.deadline_ms, now_ms)
         due = self._deadlines.bucket(due_ms)
-        jobs = self._requests.of_live_peer(peer)
+        jobs = self._requests.get_or_create_for_peer(peer)
         tail_format = self._tail_format
         call_format = self._call_format
         upstreams = self._upstreams.by_id
@@ -76,7 +76,7 @@
             if key in jobs:
                 continue
             upstream = upstreams.get(upstream_id)
-            refused = refusal(upstream, weight, due_ms, now_ms)
+            refused = check_admission(upstream, weight, due_ms, now_ms)
             if refused is not None:
                 effects.append(_refusal_reply(peer, key, refused))
                 continue
@@ -110,18 +110,18 @@
         """
         upstream = self._upstreams.by_id.get(upstream_id)
         due_ms = self._due_ms(deadline_ms, now_ms)
-        refused = refusal(upstream, RUN_WEIGHT, due_ms, now_ms)
+        refused = check_admission(upstream, RUN_WEIGHT, due_ms, now_ms)
         if refused is not None:
             retry_after_ms = refused.retry_after_ms
             return [RunResult(peer, ticket, RunKind.REFUSED_NOT_RUN, b"", retry_after_ms)]
         head, tail = parts
         job = Job(peer, ticket, upstream, RUN_WEIGHT, now_ms, due_ms, b"", head, tail)
-        self._requests.remember_ticket(ticket, now_ms)
-        self._requests.of_live_peer(peer)[ticket] = job
+        self._requests.record_ticket(ticket, now_ms)
+        self._requests.get_or_create_for_peer(peer)[ticket] = job
         self._deadlines.bucket(due_ms).append(job)
         effects: list[Any] = []
         send_or_queue(upstream, job, now_ms, effects)
-        self._sweeps.soon(now_ms)
+        self._sweeps.request_sweep(now_ms)
         return effects
 
     def _due_ms(self, deadline_ms: int, now_ms: int) -> int:
@@ -129,7 +129,7 @@
         return now_ms + left_ms - self._policy.reply_margin_ms
 
 
-def wrong_receiver(peer: str, batch: SubBatch) -> list[Any]:
+def refuse_wrong_receiver(peer: str, batch: SubBatch) -> list[Any]:
     """Refuse sub-queries addressed to another relay, or to another incarnation of this one.
 
     :param peer: the entry's link.
--- a/rhubarbhinge/routing/_ownership.py
+++ b/rhubarbhinge/routing/_ownership.py
@@ -7,7 +7,7 @@
 import xxhash
 
 #: Number of cached candidate sets with encoded names; one per cell or failure domain in use.
-KEPT_NAME_SETS = 256
+NAME_CACHE_SIZE = 256
 
 
 def rendezvous(key: str | int, names: Sequence[str], count: int) -> tuple[str, ...]:
@@ -42,6 +42,6 @@
     return owner, standby
 
 
-@lru_cache(maxsize=KEPT_NAME_SETS)
+@lru_cache(maxsize=NAME_CACHE_SIZE)
 def _encoded(names: tuple[str, ...]) -> tuple[tuple[bytes, str], ...]:
     return tuple((name.encode(), name) for name in names)
--- a/rhubarbhinge/routing/_relaycore.py
+++ b/rhubarbhinge/routing/_relaycore.py
@@ -3,22 +3,22 @@
 from random import Random
 from typing import Any
 
-from rhubarbhinge.routing._answerreading import read_run, read_search
-from rhubarbhinge.routing._answers import says_draining
+from rhubarbhinge.routing._completion import cancel_request, fail, fail_queue
 from rhubarbhinge.routing._connection import Connection
 from rhubarbhinge.routing._connectiontable import ConnectionTable
 from rhubarbhinge.routing._deadlines import Deadlines
 from rhubarbhinge.routing._droppeer import DropPeer
 from rhubarbhinge.routing._expiry import expire
-from rhubarbhinge.routing._healthdoc import HealthDoc, health_doc
-from rhubarbhinge.routing._intake import Intake, wrong_receiver
+from rhubarbhinge.routing._healthdoc import HealthDoc, parse_health_doc
+from rhubarbhinge.routing._intake import Intake, refuse_wrong_receiver
 from rhubarbhinge.routing._job import Job
 from rhubarbhinge.routing._loadreports import LoadReports, load_report
 from rhubarbhinge.routing._publishholding import PublishHolding
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._requestbodies import run_parts, search_head
-from rhubarbhinge.routing._requestends import abandon, fail, fail_queue
 from rhubarbhinge.routing._requesttable import RequestTable
+from rhubarbhinge.routing._responsehandling import handle_run_response, handle_search_response
+from rhubarbhinge.routing._responses import reports_draining
 from rhubarbhinge.routing._runkind import RunKind
 from rhubarbhinge.routing._runresult import RunResult
 from rhubarbhinge.routing._sending import after_event, send_queued
@@ -116,7 +116,7 @@
         if head is None or not _same_length(columns):
             return [DropPeer(peer, "malformed")]
         if batch.receiver_incarnation != self._incarnation:
-            return wrong_receiver(peer, batch)
+            return refuse_wrong_receiver(peer, batch)
         return self._intake.batch(peer, batch, head, now_ms)
 
     def on_run(
@@ -167,11 +167,11 @@
         if not _same_length(columns):
             return [DropPeer(peer, "malformed")]
         effects: list[Any] = []
-        jobs = self._requests.of_peer(peer, {})
+        jobs = self._requests.get_for_peer(peer, {})
         for key in zip(*columns, strict=True):
             job = jobs.get(key)
             if job is not None:
-                abandon(self._requests, job, effects)
+                cancel_request(self._requests, job, effects)
         return effects
 
     def on_peer_gone(self, peer: str, now_ms: int) -> list[Any]:
@@ -182,9 +182,9 @@
         :returns: effects to carry out.
         """
         effects: list[Any] = []
-        for job in list(self._requests.of_peer(peer, {}).values()):
-            abandon(self._requests, job, effects)
-        self._requests.drop_peer(peer)
+        for job in list(self._requests.get_for_peer(peer, {}).values()):
+            cancel_request(self._requests, job, effects)
+        self._requests.remove_peer(peer)
         return effects
 
     def on_connected(self, conn: int, now_ms: int) -> list[Any]:
@@ -198,7 +198,7 @@
         connection = self._connections.get(conn)
         if connection is None or connection.open or connection.closing:
             return effects
-        connection.upstream.pool.opened(connection, effects)
+        connection.upstream.pool.on_opened(connection, effects)
         after_event(self._requests, connection.upstream, now_ms, effects)
         return effects
 
@@ -214,7 +214,7 @@
         if connection is None:
             return effects
         upstream = connection.upstream
-        upstream.pool.closed(connection, now_ms)
+        upstream.pool.on_closed(connection, now_ms)
         job = connection.job
         if job is not None:
             upstream.in_flight -= 1
@@ -226,7 +226,7 @@
         if wait_ms is not None:
             fail_queue(self._requests, upstream, SubCode.LOST, wait_ms, now_ms, effects)
         after_event(self._requests, upstream, now_ms, effects)
-        self._upstreams.forget_if_gone(upstream)
+        self._upstreams.remove_if_closed(upstream)
         return effects
 
     def on_reply(
@@ -254,13 +254,13 @@
         job.connection = None
         upstream.in_flight -= 1
         upstream.last_answer_ms = now_ms
-        upstream.pool.served(connection)
-        if draining_header or says_draining(status, body):
-            _note_drain(connection)
-        read = read_search if job.call else read_run
-        plain = read(self._requests, job, connection, status, body, now_ms, effects)
+        upstream.pool.on_response(connection)
+        if draining_header or reports_draining(status, body):
+            _record_drain_signal(connection)
+        handle = handle_search_response if job.call else handle_run_response
+        limit_unchanged = handle(self._requests, job, connection, status, body, now_ms, effects)
         upstream.pool.release(connection, effects)
-        if not plain or upstream.drain.draining:
+        if not limit_unchanged or upstream.drain.draining:
             after_event(self._requests, upstream, now_ms, effects)
         elif upstream.queue.count:
             send_queued(self._requests, upstream, now_ms, effects)
@@ -285,11 +285,11 @@
         upstream = self._upstreams.by_id.get(upstream_id)
         if upstream is None or not upstream.owned:
             return effects
-        health = health_doc(upstream_id, upstream.spec.name, doc)
+        health = parse_health_doc(upstream_id, upstream.spec.name, doc)
         if health is None:
             upstream.health_failures += 1
         elif upstream.incarnation is None or health.incarnation >= upstream.incarnation:
-            _take_health(upstream, health, draining_header, now_ms, effects)
+            _apply_health(upstream, health, draining_header, now_ms, effects)
         after_event(self._requests, upstream, now_ms, effects)
         return effects
 
@@ -307,7 +307,7 @@
             self._sweeps.sweep(self._upstreams.owned(), now_ms, effects)
         if now_ms >= self._reports.due_ms:
             self._reports.publish(self.reports(now_ms), now_ms, effects)
-            self._requests.forget_old_tickets(now_ms)
+            self._requests.remove_expired_tickets(now_ms)
         return effects
 
     def next_wake_ms(self) -> int:
@@ -344,16 +344,16 @@
         return tuple(holding for holding in found if holding is not None)
 
 
-def _take_health(
+def _apply_health(
     upstream: Upstream, health: HealthDoc, draining_header: bool, now_ms: int, effects: list[Any]
 ) -> None:
-    if upstream.take_health(health, now_ms, effects):
+    if upstream.apply_health(health, now_ms, effects):
         effects.append(PublishHolding(health.holding))
     if draining_header:
         upstream.drain.on_signal()
 
 
-def _note_drain(connection: Connection) -> None:
+def _record_drain_signal(connection: Connection) -> None:
     if connection.opened_ms >= connection.upstream.started_ms:
         connection.upstream.drain.on_signal()
 
--- a/rhubarbhinge/routing/_requestqueue.py
+++ b/rhubarbhinge/routing/_requestqueue.py
@@ -5,7 +5,7 @@
 from rhubarbhinge.routing._job import Job
 
 #: The heap is compacted once its ended entries exceed its live ones by more than this.
-SWEEP_SLACK = 64
+COMPACTION_SLACK = 64
 
 
 class RequestQueue:
@@ -54,7 +54,7 @@
         """
         job.state = Job.DONE
         self._uncount(job)
-        if len(self._heap) > 2 * self.count + SWEEP_SLACK:
+        if len(self._heap) > 2 * self.count + COMPACTION_SLACK:
             self._heap = [entry for entry in self._heap if entry[3].state == Job.QUEUED]
             heapq.heapify(self._heap)
 
--- a/rhubarbhinge/routing/_requesttable.py
+++ b/rhubarbhinge/routing/_requesttable.py
@@ -15,9 +15,9 @@
         self._ticket_memory_ms = ticket_memory_ms
         self._by_peer: dict[str, dict[Any, Job]] = {}
         self._tickets: dict[str, int] = {}
-        self.of_peer = self._by_peer.get
+        self.get_for_peer = self._by_peer.get
 
-    def of_live_peer(self, peer: str) -> dict[Any, Job]:
+    def get_or_create_for_peer(self, peer: str) -> dict[Any, Job]:
         """Return a peer's requests, creating the mapping if necessary.
 
         :param peer: the entry's link.
@@ -28,7 +28,7 @@
             found = self._by_peer[peer] = {}
         return found
 
-    def end(self, job: Job) -> None:
+    def remove(self, job: Job) -> None:
         """Remove a request.
 
         :param job: the request; it may already have been removed.
@@ -37,7 +37,7 @@
         if jobs is not None:
             jobs.pop(job.key, None)
 
-    def drop_peer(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Remove a peer and its requests.
 
         :param peer: the entry's link.
@@ -59,7 +59,7 @@
         """
         return ticket in self._tickets
 
-    def remember_ticket(self, ticket: str, now_ms: int) -> None:
+    def record_ticket(self, ticket: str, now_ms: int) -> None:
         """Record a run's ticket.
 
         :param ticket: its ticket.
@@ -67,14 +67,14 @@
         """
         self._tickets[ticket] = now_ms
 
-    def forget_ticket(self, ticket: str) -> None:
+    def remove_ticket(self, ticket: str) -> None:
         """Remove the ticket of a run that is proved not to have run.
 
         :param ticket: its ticket.
         """
         self._tickets.pop(ticket, None)
 
-    def forget_old_tickets(self, now_ms: int) -> None:
+    def remove_expired_tickets(self, now_ms: int) -> None:
         """Remove expired tickets.
 
         :param now_ms: current time in ms.
--- a/rhubarbhinge/routing/_answerreading.py
+++ b/rhubarbhinge/routing/_responsehandling.py
@@ -2,11 +2,11 @@
 
 from typing import Any
 
-from rhubarbhinge.routing._answers import run_outcome, search_outcome
+from rhubarbhinge.routing._completion import finish_run, finish_search
 from rhubarbhinge.routing._connection import Connection
 from rhubarbhinge.routing._job import Job
-from rhubarbhinge.routing._requestends import finish_run, finish_search
 from rhubarbhinge.routing._requesttable import RequestTable
+from rhubarbhinge.routing._responses import run_outcome, search_outcome
 from rhubarbhinge.routing._runkind import RunKind
 from rhubarbhinge.routing._upstream import Upstream
 from rhubarbhinge.wire import SubCode
@@ -18,7 +18,7 @@
 _BROKEN = int(SubCode.BROKEN)
 
 
-def read_search(
+def handle_search_response(
     table: RequestTable,
     job: Job,
     connection: Connection,
@@ -41,12 +41,12 @@
     upstream = job.upstream
     code, retry_after_ms = search_outcome(status, job.call, body)
     if code == _SHED:
-        retry_after_ms = _note_shed(upstream, job, retry_after_ms, now_ms)
+        retry_after_ms = _apply_shed(upstream, job, retry_after_ms, now_ms)
     if job.state == _SENT:
         if code == _ANSWERED:
             upstream.observe_service(now_ms - job.sent_ms)
-        kept = body if code == _ANSWERED else b""
-        finish_search(table, job, code, retry_after_ms, kept, now_ms, effects)
+        reply_body = body if code == _ANSWERED else b""
+        finish_search(table, job, code, retry_after_ms, reply_body, now_ms, effects)
     if code == _BROKEN:
         connection.retired = True
         upstream.failures += 1
@@ -59,7 +59,7 @@
     return not was_failing
 
 
-def read_run(
+def handle_run_response(
     table: RequestTable,
     job: Job,
     connection: Connection,
@@ -81,7 +81,7 @@
     """
     kind, retry_after_ms = run_outcome(status, job.key, body)
     if kind is RunKind.REFUSED_NOT_RUN:
-        retry_after_ms = _note_shed(job.upstream, job, retry_after_ms, now_ms)
+        retry_after_ms = _apply_shed(job.upstream, job, retry_after_ms, now_ms)
     if kind is RunKind.UNKNOWN:
         connection.retired = True
     if job.state == _SENT:
@@ -89,7 +89,7 @@
     return kind is RunKind.RAN
 
 
-def _note_shed(upstream: Upstream, job: Job, retry_after_ms: int, now_ms: int) -> int:
+def _apply_shed(upstream: Upstream, job: Job, retry_after_ms: int, now_ms: int) -> int:
     upstream.limit.on_shed(retry_after_ms, job.sent_ms, now_ms)
     pause_ms = upstream.limit.paused_until_ms - now_ms
     return max(retry_after_ms, pause_ms, upstream.policy.least_retry_after_ms)
--- a/rhubarbhinge/routing/_answers.py
+++ b/rhubarbhinge/routing/_responses.py
@@ -13,12 +13,12 @@
 _DRAINING = int(SubCode.DRAINING)
 _DEADLINE = int(SubCode.DEADLINE)
 _BROKEN = int(SubCode.BROKEN)
-_CODE_OF_CONFLICT = {
+_CONFLICT_CODES = {
     "version-gone": int(SubCode.VERSION_GONE),
     "range-moved": int(SubCode.RANGE_MOVED),
 }
 #: Upper bound on a searcher's retry-after; larger values are clamped to it.
-MOST_RETRY_AFTER_MS = 60_000
+MAX_RETRY_AFTER_MS = 60_000
 
 
 def search_outcome(status: int, call: bytes, body: bytes) -> tuple[int, int]:
@@ -31,8 +31,8 @@
     """
     if status == 200 and body.startswith(b'{"call":"' + call + b'"') and body.endswith(b"}"):
         return _ANSWERED, 0
-    doc = _object(body)
-    if doc is None or not _is_own(doc, status, call):
+    doc = _parse_object(body)
+    if doc is None or not _matches_call(doc, status, call):
         return _BROKEN, 0
     if status == 200:
         return _ANSWERED, 0
@@ -40,7 +40,7 @@
         code = _DRAINING if doc.get("code") == "draining" else _SHED
         return code, retry_after_ms(doc)
     if status == 409:
-        return _CODE_OF_CONFLICT.get(str(doc.get("code")), _BROKEN), 0
+        return _CONFLICT_CODES.get(str(doc.get("code")), _BROKEN), 0
     if status == 504:
         return _DEADLINE, 0
     return _BROKEN, 0
@@ -54,7 +54,7 @@
     :param body: response body.
     :returns: the outcome and the retry-after in ms.
     """
-    doc = _object(body)
+    doc = _parse_object(body)
     if doc is None or doc.get("ticket", ticket) != ticket:
         return RunKind.UNKNOWN, 0
     if status == 200 and "ticket" in doc:
@@ -73,10 +73,10 @@
     value = doc.get("retry_after_ms")
     if type(value) is not int:
         return 0
-    return max(0, min(value, MOST_RETRY_AFTER_MS))
+    return max(0, min(value, MAX_RETRY_AFTER_MS))
 
 
-def says_draining(status: int, body: bytes) -> bool:
+def reports_draining(status: int, body: bytes) -> bool:
     """Return whether a refusal reports that the searcher is draining.
 
     :param status: HTTP status code.
@@ -85,18 +85,18 @@
     """
     if status != 503:
         return False
-    doc = _object(body)
+    doc = _parse_object(body)
     return doc is not None and doc.get("code") == "draining"
 
 
-def _is_own(doc: dict[str, Any], status: int, call: bytes) -> bool:
+def _matches_call(doc: dict[str, Any], status: int, call: bytes) -> bool:
     if status == 200 and "call" not in doc:
         return False
-    named = doc.get("call", call.decode())
-    return named == call.decode()
+    response_call = doc.get("call", call.decode())
+    return response_call == call.decode()
 
 
-def _object(body: bytes) -> dict[str, Any] | None:
+def _parse_object(body: bytes) -> dict[str, Any] | None:
     try:
         doc = orjson.loads(body)
     except orjson.JSONDecodeError:
--- a/rhubarbhinge/routing/_sending.py
+++ b/rhubarbhinge/routing/_sending.py
@@ -3,8 +3,8 @@
 from math import ceil
 from typing import Any
 
+from rhubarbhinge.routing._completion import fail, fail_queue
 from rhubarbhinge.routing._job import Job
-from rhubarbhinge.routing._requestends import fail, fail_queue
 from rhubarbhinge.routing._requesttable import RequestTable
 from rhubarbhinge.routing._sendrun import SendRun
 from rhubarbhinge.routing._sendsearch import SendSearch
@@ -24,10 +24,10 @@
     if pool.idle and upstream.in_flight < upstream.allowed:
         left_ms = job.due_ms - now_ms - upstream.policy.upstream_margin_ms
         _send(upstream, job, left_ms, now_ms, effects)
-        pool.keep_ready(0, now_ms, effects)
+        pool.open_missing(0, now_ms, effects)
         return
     upstream.queue.push(job)
-    _keep_ready(upstream, now_ms, effects)
+    _open_missing(upstream, now_ms, effects)
 
 
 def send_queued(table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
@@ -48,7 +48,7 @@
             continue
         queue.pop()
         _send(upstream, job, left_ms, now_ms, effects)
-    _keep_ready(upstream, now_ms, effects)
+    _open_missing(upstream, now_ms, effects)
 
 
 def after_event(table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
@@ -69,7 +69,7 @@
     send_queued(table, upstream, now_ms, effects)
 
 
-def refuse_hopeless(
+def refuse_late_requests(
     table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]
 ) -> None:
     """Refuse queued requests that can no longer meet their deadline, while a replica still might.
@@ -92,13 +92,13 @@
         fail(table, job, SubCode.QUEUE_FULL, retry_after_ms, now_ms, effects)
 
 
-def _keep_ready(upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
+def _open_missing(upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
     free_slots = max(0, upstream.allowed - upstream.in_flight)
-    upstream.pool.keep_ready(min(free_slots, upstream.queue.count), now_ms, effects)
+    upstream.pool.open_missing(min(free_slots, upstream.queue.count), now_ms, effects)
 
 
 def _send(upstream: Upstream, job: Job, left_ms: int, now_ms: int, effects: list[Any]) -> None:
-    conn = upstream.pool.take(job).conn
+    conn = upstream.pool.assign(job).conn
     job.state = Job.SENT
     job.sent_ms = now_ms
     upstream.in_flight += 1
--- a/rhubarbhinge/routing/_sweeps.py
+++ b/rhubarbhinge/routing/_sweeps.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.routing._pollhealth import PollHealth
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._requesttable import RequestTable
-from rhubarbhinge.routing._sending import after_event, refuse_hopeless
+from rhubarbhinge.routing._sending import after_event, refuse_late_requests
 from rhubarbhinge.routing._upstream import Upstream
 
 
@@ -26,7 +26,7 @@
         self._rng = rng
         self._requests = requests
 
-    def soon(self, now_ms: int) -> None:
+    def request_sweep(self, now_ms: int) -> None:
         """Schedule the next sweep within ``sweep_period_ms``, because there is work.
 
         :param now_ms: current time in ms.
@@ -44,7 +44,7 @@
             if now_ms >= upstream.health_at_ms:
                 self._poll_health(upstream, now_ms, effects)
             after_event(self._requests, upstream, now_ms, effects)
-            refuse_hopeless(self._requests, upstream, now_ms, effects)
+            refuse_late_requests(self._requests, upstream, now_ms, effects)
         self.due_ms = now_ms + self._period_ms(upstreams, now_ms)
 
     def _period_ms(self, upstreams: list[Upstream], now_ms: int) -> int:
--- a/rhubarbhinge/routing/_upstream.py
+++ b/rhubarbhinge/routing/_upstream.py
@@ -41,9 +41,11 @@
     ) -> None:
         self.spec = spec
         self.owned = True
-        self.slots = _share(spec.slots, spec.share)
+        self.slots = _scale(spec.slots, spec.share)
         self.queue = RequestQueue()
-        self.pool = ConnectionPool(self, spec, _cap(spec, policy), policy, table, deadlines)
+        self.pool = ConnectionPool(
+            self, spec, _connection_cap(spec, policy), policy, table, deadlines
+        )
         self.limit = ConcurrencyLimit(self.slots, policy, now_ms)
         self.drain = DrainState()
         self.in_flight = 0
@@ -66,9 +68,9 @@
         :param effects: list that effects are appended to.
         """
         self.spec = spec
-        self.slots = _share(spec.slots, spec.share)
+        self.slots = _scale(spec.slots, spec.share)
         self.limit.resize(self.slots)
-        self.pool.resize(spec, _cap(spec, self.policy), effects)
+        self.pool.resize(spec, _connection_cap(spec, self.policy), effects)
 
     def refresh(self, now_ms: int) -> None:
         """Set ``allowed``: 0 while draining or paused, at most 1 as a probe while down or silent.
@@ -92,7 +94,7 @@
             return UpstreamState.DRAINING
         if self._is_down(now_ms):
             return UpstreamState.DOWN
-        if self._is_silent(now_ms) or self._is_new():
+        if self._is_silent(now_ms) or self._is_unobserved():
             return UpstreamState.UNKNOWN
         return UpstreamState.WARMING if self.limit.is_cold(now_ms) else UpstreamState.READY
 
@@ -141,7 +143,7 @@
         self.failures += 1
         self.refresh(now_ms)
 
-    def take_health(self, health: HealthDoc, now_ms: int, effects: list[Any]) -> bool:
+    def apply_health(self, health: HealthDoc, now_ms: int, effects: list[Any]) -> bool:
         """Apply a health document of the current or a newer incarnation.
 
         :param health: the document.
@@ -150,8 +152,8 @@
         :returns: whether the searcher's holding report has changed.
         """
         if self.incarnation is not None and health.incarnation > self.incarnation:
-            self._start_anew(now_ms, effects)
-        self._leave_down(now_ms)
+            self._reset_for_new_incarnation(now_ms, effects)
+        self._clear_down_state(now_ms)
         self.health_failures = 0
         self.incarnation = health.incarnation
         self.limit.set_warming(health.state == "warming", now_ms)
@@ -161,13 +163,13 @@
         self.holding = health.holding
         return changed
 
-    def _start_anew(self, now_ms: int, effects: list[Any]) -> None:
+    def _reset_for_new_incarnation(self, now_ms: int, effects: list[Any]) -> None:
         self.drain.on_newer_incarnation()
         self.limit.restart(now_ms)
         self.pool.retire_all(effects)
         self.started_ms = now_ms
 
-    def _leave_down(self, now_ms: int) -> None:
+    def _clear_down_state(self, now_ms: int) -> None:
         if self.failures >= self.policy.down_failures:
             self.failures = self.policy.down_failures - 1
             self.limit.restart(now_ms)
@@ -177,24 +179,24 @@
             return True
         return self.pool.refused_wait_ms(now_ms) is not None
 
-    def _is_new(self) -> bool:
+    def _is_unobserved(self) -> bool:
         return self.incarnation is None and self.last_answer_ms is None
 
     def _is_silent(self, now_ms: int) -> bool:
         if self.health_failures < self.policy.down_failures:
             return False
-        return not self._answered_lately(now_ms)
+        return not self._answered_recently(now_ms)
 
-    def _answered_lately(self, now_ms: int) -> bool:
+    def _answered_recently(self, now_ms: int) -> bool:
         if self.last_answer_ms is None:
             return False
         window_ms = self.policy.down_failures * self.policy.health_period_ms
         return now_ms - self.last_answer_ms < window_ms
 
 
-def _share(whole: int, share: float) -> int:
+def _scale(whole: int, share: float) -> int:
     return max(1, floor(whole * share + ROUNDING_SLACK))
 
 
-def _cap(spec: UpstreamSpec, policy: RelayPolicy) -> int:
-    return max(1, _share(spec.connections, spec.share) - policy.control_connections)
+def _connection_cap(spec: UpstreamSpec, policy: RelayPolicy) -> int:
+    return max(1, _scale(spec.connections, spec.share) - policy.control_connections)
--- a/rhubarbhinge/routing/_upstreamtable.py
+++ b/rhubarbhinge/routing/_upstreamtable.py
@@ -2,11 +2,11 @@
 
 from typing import Any
 
+from rhubarbhinge.routing._completion import fail_queue
 from rhubarbhinge.routing._connectiontable import ConnectionTable
 from rhubarbhinge.routing._deadlines import Deadlines
-from rhubarbhinge.routing._drainmemory import DrainMemory
+from rhubarbhinge.routing._draincache import DrainCache
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
-from rhubarbhinge.routing._requestends import fail_queue
 from rhubarbhinge.routing._requesttable import RequestTable
 from rhubarbhinge.routing._sending import after_event
 from rhubarbhinge.routing._upstream import Upstream
@@ -39,7 +39,7 @@
         self._connections = connections
         self._deadlines = deadlines
         self._leaving: frozenset[int] = frozenset()
-        self._drains = DrainMemory()
+        self._drains = DrainCache()
 
     def owned(self) -> list[Upstream]:
         """Return the states of the owned searchers.
@@ -64,9 +64,9 @@
         kept = {spec.upstream_id for spec in specs}
         for upstream_id, upstream in list(self.by_id.items()):
             if upstream.owned and upstream_id not in kept:
-                self._disown(upstream, now_ms, effects)
+                self._remove_owned(upstream, now_ms, effects)
         for spec in specs:
-            self._own(spec, now_ms, effects)
+            self._add_or_update_owned(spec, now_ms, effects)
 
     def set_leaving(self, upstream_ids: frozenset[int], now_ms: int, effects: list[Any]) -> None:
         """Update the searchers whose VMs are marked as leaving in the platform's VM list.
@@ -80,21 +80,21 @@
             upstream.drain.on_vm_list(upstream_id in upstream_ids)
             after_event(self._requests, upstream, now_ms, effects)
 
-    def forget_if_gone(self, upstream: Upstream) -> None:
+    def remove_if_closed(self, upstream: Upstream) -> None:
         """Remove a searcher that is no longer owned once its last connection has closed.
 
         :param upstream: the searcher's state.
         """
         if not upstream.owned and not len(upstream.pool):
             upstream_id = upstream.spec.upstream_id
-            self._drains.keep(upstream_id, upstream.drain, upstream.incarnation)
+            self._drains.store(upstream_id, upstream.drain, upstream.incarnation)
             del self.by_id[upstream_id]
 
-    def _own(self, spec: UpstreamSpec, now_ms: int, effects: list[Any]) -> None:
+    def _add_or_update_owned(self, spec: UpstreamSpec, now_ms: int, effects: list[Any]) -> None:
         upstream = self.by_id.get(spec.upstream_id)
         if upstream is None:
             upstream = Upstream(spec, self._policy, self._connections, self._deadlines, now_ms)
-            upstream.drain, upstream.incarnation = self._drains.take(spec.upstream_id)
+            upstream.drain, upstream.incarnation = self._drains.pop(spec.upstream_id)
             upstream.drain.on_vm_list(spec.upstream_id in self._leaving)
             self.by_id[spec.upstream_id] = upstream
         upstream.owned = True
@@ -102,9 +102,9 @@
         upstream.drain.on_register(spec.leaving, self.revision)
         after_event(self._requests, upstream, now_ms, effects)
 
-    def _disown(self, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
+    def _remove_owned(self, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
         upstream.owned = False
         upstream.refresh(now_ms)
         fail_queue(self._requests, upstream, SubCode.WRONG_RECEIVER, 0, now_ms, effects)
         upstream.pool.retire_all(effects)
-        self.forget_if_gone(upstream)
+        self.remove_if_closed(upstream)
