--- a/rhubarbhinge/routing/_connectionpool.py
+++ b/rhubarbhinge/routing/_connectionpool.py
@@ -72,7 +72,7 @@
             self.close(self.idle[0], effects)
 
     def refused_wait_ms(self, now_ms: int) -> int | None:
-        """Return whether the searcher refuses connections.
+        """Return the delay until the next attempt while the searcher refuses connections.
 
         :param now_ms: current time in ms.
         :returns: time in ms until the next attempt; None if one is open or no attempt failed.
--- a/rhubarbhinge/routing/_draincache.py
+++ b/rhubarbhinge/routing/_draincache.py
@@ -2,7 +2,7 @@
 
 from rhubarbhinge.routing._drainstate import DrainState
 
-#: Maximum number of entries; an evicted searcher itself reports again that it is leaving.
+#: Maximum number of entries; the oldest is evicted, and its searcher reports again that it drains.
 MAX_ENTRIES = 10_000
 
 
--- a/rhubarbhinge/routing/_drainstate.py
+++ b/rhubarbhinge/routing/_drainstate.py
@@ -32,14 +32,14 @@
     def on_vm_list(self, leaving: bool) -> None:
         """Record the VM list's state; only a change to leaving counts, since the list lags.
 
-        :param leaving: whether the list says that the searcher's VM leaves.
+        :param leaving: whether the list marks the searcher's VM as leaving.
         """
         if leaving and not self._listed:
             self._by_searcher_or_list = True
         self._listed = leaving
 
     def on_signal(self) -> None:
-        """Record that the searcher itself reported it, in its health document or in a response."""
+        """Record that the searcher reported draining in its health document or in a response."""
         self._by_searcher_or_list = True
 
     def on_newer_incarnation(self) -> None:
--- a/rhubarbhinge/routing/_job.py
+++ b/rhubarbhinge/routing/_job.py
@@ -4,7 +4,7 @@
 
 
 class Job:
-    """A sub-query or a run; has slots because one is created for each request.
+    """A sub-query or a run; mutable, with slots because one is created for each request.
 
     :param peer: the entry's link.
     :param key: call, part and attempt of a sub-query; the ticket of a run.
--- a/rhubarbhinge/routing/tests/fakeshell.py
+++ b/rhubarbhinge/routing/tests/fakeshell.py
@@ -25,16 +25,16 @@
 SHED = {"code": "shed", "not_run": True, "retry_after_ms": 50}
 
 
-def spec(place: int = 0, **changes: object) -> UpstreamSpec:
+def spec(index: int = 0, **changes: object) -> UpstreamSpec:
     fields = {"slots": 2, "connections": 5, "connect_ms": 6} | changes
-    return UpstreamSpec(IDS[place], NAMES[place], "127.0.0.1", 9001 + place, **fields)
+    return UpstreamSpec(IDS[index], NAMES[index], "127.0.0.1", 9001 + index, **fields)
 
 
-def health(place: int = 0, incarnation: int = 1, state: str = "ready") -> dict:
+def health(index: int = 0, incarnation: int = 1, state: str = "ready") -> dict:
     ranges = [{"lo": 0, "hi": 8192, "records": 6000}]
     collections = {"overhauls": {"41": {"total_records": 48000, "ranges": ranges}}}
     return {
-        "name": NAMES[place],
+        "name": NAMES[index],
         "incarnation": incarnation,
         "state": state,
         "slots": 2,
@@ -91,14 +91,14 @@
 
     def batch(
         self,
-        *places: int,
+        *indexes: int,
         deadline_ms: int = 200,
         weight: int = 8,
         peer: str = "entry",
         **changes: object,
     ) -> list:
         self.next_call += 1
-        count = len(places)
+        count = len(indexes)
         fields = {
             "call_id": self.next_call,
             "receiver_incarnation": RELAY_INCARNATION,
@@ -111,7 +111,7 @@
             "weight": weight,
             "parts": tuple(range(count)),
             "attempts": (0,) * count,
-            "upstream_ids": tuple(IDS[place] for place in places),
+            "upstream_ids": tuple(IDS[index] for index in indexes),
             "los": (0,) * count,
             "his": (8192,) * count,
         } | changes
@@ -119,9 +119,9 @@
             self.expected_by_ms[peer, fields["call_id"], part, 0] = self.now_ms + deadline_ms
         return self.apply(self.core.on_batch(peer, SubBatch(**fields), self.now_ms))
 
-    def run(self, ticket: str, place: int = 0, deadline_ms: int = 200) -> list:
+    def run(self, ticket: str, index: int = 0, deadline_ms: int = 200) -> list:
         effects = self.core.on_run(
-            "entry", ticket, IDS[place], "parts-order", b'{"part":1}', deadline_ms, self.now_ms
+            "entry", ticket, IDS[index], "parts-order", b'{"part":1}', deadline_ms, self.now_ms
         )
         return self.apply(effects)
 
@@ -165,21 +165,21 @@
         data = orjson.dumps(body)
         return self.apply(self.core.on_reply(conn, status, draining, data, self.now_ms))
 
-    def health(self, place: int, doc: dict | None) -> list:
+    def health(self, index: int, doc: dict | None) -> list:
         if doc is not None and doc["state"] == "draining":
-            self.leaving.add(IDS[place])
-        return self.apply(self.core.on_health(IDS[place], doc, self.now_ms))
+            self.leaving.add(IDS[index])
+        return self.apply(self.core.on_health(IDS[index], doc, self.now_ms))
 
-    def vm_list(self, *places: int) -> list:
-        leaving = frozenset(IDS[place] for place in places)
+    def vm_list(self, *indexes: int) -> list:
+        leaving = frozenset(IDS[index] for index in indexes)
         self.leaving |= leaving - self.vm_list_leaving
         self.vm_list_leaving = leaving
         return self.apply(self.core.set_leaving(leaving, self.now_ms))
 
-    def restarted(self, place: int) -> None:
-        self.leaving.discard(IDS[place])
-        self.current_conns -= {conn for conn, name in self.conns.items() if name == IDS[place]}
-        self.health(place, health(place, self.incarnations[place]))
+    def restarted(self, index: int) -> None:
+        self.leaving.discard(IDS[index])
+        self.current_conns -= {conn for conn, name in self.conns.items() if name == IDS[index]}
+        self.health(index, health(index, self.incarnations[index]))
 
     def wait(self, ms: int, step_ms: int = 10) -> None:
         end_ms = self.now_ms + ms
@@ -189,8 +189,8 @@
 
     def warm(self) -> "FakeShell":
         self.connect()
-        for place in range(len(self.specs)):
-            self.health(place, health(place))
+        for index in range(len(self.specs)):
+            self.health(index, health(index))
         self.wait(3000)
         self.connect()
         self.effects.clear()
@@ -199,9 +199,9 @@
     def codes(self) -> list[int]:
         return [reply.code for reply in self.replies.values()]
 
-    def report(self, place: int = 0) -> dict[str, int]:
+    def report(self, index: int = 0) -> dict[str, int]:
         report = self.core.reports(self.now_ms)
-        at = report.upstream_ids.index(IDS[place])
+        at = report.upstream_ids.index(IDS[index])
         names = ("states", "queued", "in_flight", "slots")
         return {name: getattr(report, name)[at] for name in names}
 
--- a/rhubarbhinge/routing/tests/test_cells.py
+++ b/rhubarbhinge/routing/tests/test_cells.py
@@ -34,16 +34,16 @@
     def test_relay_load_is_balanced(self):
         table = CellTable(SYSTEMS, RELAYS)
         load = Counter(
-            table.owner(system, f"{system}-{place}")
+            table.owner(system, f"{system}-{index}")
             for system, count in SYSTEMS.items()
-            for place in range(count)
+            for index in range(count)
         )
         self.assertEqual(set(load), set(RELAYS))
         self.assertLess(max(load.values()), 3 * sum(load.values()) / len(RELAYS))
 
     def test_a_systems_searchers_stay_on_few_relays(self):
         table = CellTable(SYSTEMS, RELAYS)
-        used = {table.owner("system-3", f"system-3-{place}") for place in range(64)}
+        used = {table.owner("system-3", f"system-3-{index}") for index in range(64)}
         self.assertLessEqual(len(used), 6)
 
     def test_losing_a_relay_changes_few_cells(self):
--- a/rhubarbhinge/routing/tests/test_schedules.py
+++ b/rhubarbhinge/routing/tests/test_schedules.py
@@ -43,15 +43,15 @@
 
 def step(shell: FakeShell, name: str, number: int) -> None:
     """Apply one event; events with several letters are drawn more often."""
-    place = number % 2
+    index = number % 2
     busy = sorted(shell.busy.keys() - set(shell.closing))
     conn = busy[number % len(busy)] if busy else None
     if name in "abc":
         shell.batch(*((0, 1, 0, 0, 1, 1, 0, 1)[: number + 1]), deadline_ms=40 * (number + 1))
     elif name == "d":
-        shell.batch(place, weight=1 + number, peer="other")
+        shell.batch(index, weight=1 + number, peer="other")
     elif name == "e":
-        shell.run(f"t{number // 3}", place, deadline_ms=60)
+        shell.run(f"t{number // 3}", index, deadline_ms=60)
     elif name == "f":
         shell.cancel(max(1, shell.next_call - number // 2))
     elif name == "g" and number == 0:
@@ -73,9 +73,9 @@
     elif name == "r":
         _change_register(shell, number)
     elif name == "s":
-        _drain(shell, place, number)
+        _drain(shell, index, number)
     elif name in "tu":
-        _restart(shell, place)
+        _restart(shell, index)
 
 
 def _unusual_answer(shell: FakeShell, conn: int, number: int) -> None:
@@ -106,21 +106,21 @@
         shell.register(spec(0), spec(1))
 
 
-def _drain(shell: FakeShell, place: int, number: int) -> None:
+def _drain(shell: FakeShell, index: int, number: int) -> None:
     owned = shell.core.reports(shell.now_ms).upstream_ids
-    if IDS[place] not in owned:
+    if IDS[index] not in owned:
         return
     if number < 2:
-        shell.health(place, health(place, shell.incarnations[place], "draining"))
+        shell.health(index, health(index, shell.incarnations[index], "draining"))
     elif number < 4:
-        shell.vm_list(place)
+        shell.vm_list(index)
     else:
         shell.vm_list()
 
 
-def _restart(shell: FakeShell, place: int) -> None:
-    shell.incarnations[place] += 1
-    shell.restarted(place)
+def _restart(shell: FakeShell, index: int) -> None:
+    shell.incarnations[index] += 1
+    shell.restarted(index)
 
 
 if __name__ == "__main__":
