--- a/rhubarbhinge/routing/__init__.py
+++ b/rhubarbhinge/routing/__init__.py
@@ -13,7 +13,7 @@
 from rhubarbhinge.routing._relaycore import RelayCore
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._reply import Reply
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.routing._runresult import RunResult
 from rhubarbhinge.routing._sendrun import SendRun
 from rhubarbhinge.routing._sendsearch import SendSearch
@@ -32,7 +32,7 @@
     "RelayCore",
     "RelayPolicy",
     "Reply",
-    "RunKind",
+    "RunOutcome",
     "RunResult",
     "SendRun",
     "SendSearch",
--- a/rhubarbhinge/routing/_completion.py
+++ b/rhubarbhinge/routing/_completion.py
@@ -6,7 +6,7 @@
 from rhubarbhinge.routing._job import Job
 from rhubarbhinge.routing._reply import Reply
 from rhubarbhinge.routing._requesttable import RequestTable
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.routing._runresult import RunResult
 from rhubarbhinge.routing._upstream import Upstream
 from rhubarbhinge.wire import SubCode
@@ -58,7 +58,7 @@
 def finish_run(
     table: RequestTable,
     job: Job,
-    kind: RunKind,
+    kind: RunOutcome,
     retry_after_ms: int,
     body: bytes,
     effects: list[Any],
@@ -76,7 +76,7 @@
         job.upstream.queue.discard(job)
     job.state = Job.DONE
     table.remove(job)
-    if kind is RunKind.REFUSED_NOT_RUN:
+    if kind is RunOutcome.REFUSED_NOT_RUN:
         table.remove_ticket(job.key)
     effects.append(RunResult(job.peer, job.key, kind, body, retry_after_ms))
 
@@ -101,7 +101,7 @@
     if not job.is_run:
         finish_search(table, job, int(code), retry_after_ms, b"", now_ms, effects)
         return
-    kind = RunKind.UNKNOWN if job.state == Job.SENT else RunKind.REFUSED_NOT_RUN
+    kind = RunOutcome.UNKNOWN if job.state == Job.SENT else RunOutcome.REFUSED_NOT_RUN
     finish_run(table, job, kind, retry_after_ms, b"", effects)
 
 
--- a/rhubarbhinge/routing/_intake.py
+++ b/rhubarbhinge/routing/_intake.py
@@ -9,7 +9,7 @@
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._reply import Reply
 from rhubarbhinge.routing._requesttable import RequestTable
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.routing._runresult import RunResult
 from rhubarbhinge.routing._sending import send_or_queue
 from rhubarbhinge.routing._sweeps import Sweeps
@@ -113,7 +113,7 @@
         refused = check_admission(upstream, RUN_WEIGHT, due_ms, now_ms)
         if refused is not None:
             retry_after_ms = refused.retry_after_ms
-            return [RunResult(peer, ticket, RunKind.REFUSED_NOT_RUN, b"", retry_after_ms)]
+            return [RunResult(peer, ticket, RunOutcome.REFUSED_NOT_RUN, b"", retry_after_ms)]
         head, tail = parts
         job = Job(peer, ticket, upstream, RUN_WEIGHT, now_ms, due_ms, b"", head, tail)
         self._requests.record_ticket(ticket, now_ms)
--- a/rhubarbhinge/routing/_relaycore.py
+++ b/rhubarbhinge/routing/_relaycore.py
@@ -19,7 +19,7 @@
 from rhubarbhinge.routing._requesttable import RequestTable
 from rhubarbhinge.routing._responsehandling import handle_run_response, handle_search_response
 from rhubarbhinge.routing._responses import reports_draining
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.routing._runresult import RunResult
 from rhubarbhinge.routing._sending import after_event, send_queued
 from rhubarbhinge.routing._sweeps import Sweeps
@@ -141,10 +141,10 @@
         :returns: effects to carry out.
         """
         if self._requests.knows_ticket(ticket):
-            return [RunResult(peer, ticket, RunKind.UNKNOWN, b"", 0)]
+            return [RunResult(peer, ticket, RunOutcome.UNKNOWN, b"", 0)]
         parts = run_parts(ticket, action, body)
         if parts is None:
-            return [RunResult(peer, ticket, RunKind.REFUSED_NOT_RUN, b"", 0)]
+            return [RunResult(peer, ticket, RunOutcome.REFUSED_NOT_RUN, b"", 0)]
         return self._intake.run(peer, ticket, upstream_id, parts, deadline_ms, now_ms)
 
     def knows_ticket(self, ticket: str) -> bool:
--- a/rhubarbhinge/routing/_responsehandling.py
+++ b/rhubarbhinge/routing/_responsehandling.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.routing._job import Job
 from rhubarbhinge.routing._requesttable import RequestTable
 from rhubarbhinge.routing._responses import run_outcome, search_outcome
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.routing._upstream import Upstream
 from rhubarbhinge.wire import SubCode
 
@@ -80,13 +80,13 @@
     :returns: whether the response leaves the searcher's concurrency limit unchanged.
     """
     kind, retry_after_ms = run_outcome(status, job.key, body)
-    if kind is RunKind.REFUSED_NOT_RUN:
+    if kind is RunOutcome.REFUSED_NOT_RUN:
         retry_after_ms = _apply_shed(job.upstream, job, retry_after_ms, now_ms)
-    if kind is RunKind.UNKNOWN:
+    if kind is RunOutcome.UNKNOWN:
         connection.retired = True
     if job.state == _SENT:
         finish_run(table, job, kind, retry_after_ms, body, effects)
-    return kind is RunKind.RAN
+    return kind is RunOutcome.RAN
 
 
 def _apply_shed(upstream: Upstream, job: Job, retry_after_ms: int, now_ms: int) -> int:
--- a/rhubarbhinge/routing/_responses.py
+++ b/rhubarbhinge/routing/_responses.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.wire import SubCode
 
 #: Plain integers, since access to enumeration members is several times slower.
@@ -46,7 +46,7 @@
     return _BROKEN, 0
 
 
-def run_outcome(status: int, ticket: str, body: bytes) -> tuple[RunKind, int]:
+def run_outcome(status: int, ticket: str, body: bytes) -> tuple[RunOutcome, int]:
     """Interpret the response to a run; an inconclusive one gives an unknown outcome.
 
     :param status: HTTP status code.
@@ -56,12 +56,12 @@
     """
     doc = _parse_object(body)
     if doc is None or doc.get("ticket", ticket) != ticket:
-        return RunKind.UNKNOWN, 0
+        return RunOutcome.UNKNOWN, 0
     if status == 200 and "ticket" in doc:
-        return RunKind.RAN, 0
+        return RunOutcome.RAN, 0
     if status == 503 and doc.get("not_run") is True:
-        return RunKind.REFUSED_NOT_RUN, retry_after_ms(doc)
-    return RunKind.UNKNOWN, 0
+        return RunOutcome.REFUSED_NOT_RUN, retry_after_ms(doc)
+    return RunOutcome.UNKNOWN, 0
 
 
 def retry_after_ms(doc: dict[str, Any]) -> int:
--- a/rhubarbhinge/routing/_runkind.py
+++ b/rhubarbhinge/routing/_runoutcome.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 
-class RunKind(StrEnum):
+class RunOutcome(StrEnum):
     """Outcome of a run, as far as the relay can prove it."""
 
     #: The searcher confirmed that it ran.
--- a/rhubarbhinge/routing/_runresult.py
+++ b/rhubarbhinge/routing/_runresult.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._runoutcome import RunOutcome
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,6 +18,6 @@
 
     peer: str
     ticket: str
-    kind: RunKind
+    kind: RunOutcome
     payload: bytes
     retry_after_ms: int
