--- a/rhubarbhinge/routing/_admission.py
+++ b/rhubarbhinge/routing/_admission.py
@@ -31,10 +31,10 @@
 
 
 def _queue_refusal(upstream: Upstream, weight: int, left_ms: int, now_ms: int) -> Refusal | None:
-    least_ms = upstream.policy.least_retry_after_ms
+    min_retry_after_ms = upstream.policy.least_retry_after_ms
     refused_ms = upstream.pool.refused_wait_ms(now_ms)
     if refused_ms is not None:
-        return Refusal(int(SubCode.LOST), max(least_ms, refused_ms))
+        return Refusal(int(SubCode.LOST), max(min_retry_after_ms, refused_ms))
     if not upstream.policy.early_refusal:
         return None
     late_ms = ceil(upstream.wait_ms(weight, now_ms) - left_ms)
@@ -42,4 +42,4 @@
         late_ms = max(late_ms, ceil(upstream.service_ms))
     if late_ms <= 0:
         return None
-    return Refusal(int(SubCode.QUEUE_FULL), max(least_ms, late_ms))
+    return Refusal(int(SubCode.QUEUE_FULL), max(min_retry_after_ms, late_ms))
--- a/rhubarbhinge/routing/_drainstate.py
+++ b/rhubarbhinge/routing/_drainstate.py
@@ -38,7 +38,7 @@
             self._by_searcher_or_list = True
         self._listed = leaving
 
-    def on_signal(self) -> None:
+    def on_searcher_signal(self) -> None:
         """Record that the searcher reported draining in its health document or in a response."""
         self._by_searcher_or_list = True
 
--- a/rhubarbhinge/routing/_relaycore.py
+++ b/rhubarbhinge/routing/_relaycore.py
@@ -21,7 +21,7 @@
 from rhubarbhinge.routing._responses import reports_draining
 from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.routing._runresult import RunResult
-from rhubarbhinge.routing._sending import after_event, send_queued
+from rhubarbhinge.routing._sending import refresh_and_send, send_queued
 from rhubarbhinge.routing._sweeps import Sweeps
 from rhubarbhinge.routing._upstream import Upstream
 from rhubarbhinge.routing._upstreamspec import UpstreamSpec
@@ -199,7 +199,7 @@
         if connection is None or connection.open or connection.closing:
             return effects
         connection.upstream.pool.on_opened(connection, effects)
-        after_event(self._requests, connection.upstream, now_ms, effects)
+        refresh_and_send(self._requests, connection.upstream, now_ms, effects)
         return effects
 
     def on_connection_closed(self, conn: int, now_ms: int) -> list[Any]:
@@ -225,7 +225,7 @@
         wait_ms = upstream.pool.refused_wait_ms(now_ms)
         if wait_ms is not None:
             fail_queue(self._requests, upstream, SubCode.LOST, wait_ms, now_ms, effects)
-        after_event(self._requests, upstream, now_ms, effects)
+        refresh_and_send(self._requests, upstream, now_ms, effects)
         self._upstreams.remove_if_closed(upstream)
         return effects
 
@@ -261,7 +261,7 @@
         limit_unchanged = handle(self._requests, job, connection, status, body, now_ms, effects)
         upstream.pool.release(connection, effects)
         if not limit_unchanged or upstream.drain.draining:
-            after_event(self._requests, upstream, now_ms, effects)
+            refresh_and_send(self._requests, upstream, now_ms, effects)
         elif upstream.queue.count:
             send_queued(self._requests, upstream, now_ms, effects)
         return effects
@@ -290,7 +290,7 @@
             upstream.health_failures += 1
         elif upstream.incarnation is None or health.incarnation >= upstream.incarnation:
             _apply_health(upstream, health, draining_header, now_ms, effects)
-        after_event(self._requests, upstream, now_ms, effects)
+        refresh_and_send(self._requests, upstream, now_ms, effects)
         return effects
 
     def tick(self, now_ms: int) -> list[Any]:
@@ -350,12 +350,12 @@
     if upstream.apply_health(health, now_ms, effects):
         effects.append(PublishHolding(health.holding))
     if draining_header:
-        upstream.drain.on_signal()
+        upstream.drain.on_searcher_signal()
 
 
 def _record_drain_signal(connection: Connection) -> None:
     if connection.opened_ms >= connection.upstream.started_ms:
-        connection.upstream.drain.on_signal()
+        connection.upstream.drain.on_searcher_signal()
 
 
 def _same_length(columns: tuple[tuple[Any, ...], ...]) -> bool:
--- a/rhubarbhinge/routing/_relaypolicy.py
+++ b/rhubarbhinge/routing/_relaypolicy.py
@@ -21,8 +21,8 @@
     :param most_pause_ms: longest such pause, unless the searcher requests a longer one.
     :param least_connect_timeout_ms: minimum connect timeout; searchers with a long connect time
         get a longer one.
-    :param least_connection_life_ms: a connection that closes sooner, without a response, counts
-        as a failed connection attempt.
+    :param least_connection_life_ms: a connection that the searcher closes sooner, without a
+        response, counts as a failed connection attempt.
     :param least_connect_wait_ms: delay after the first failed connection; then doubles.
     :param most_connect_wait_ms: longest delay between two connection attempts.
     :param late_answer_ms: time for which a timed-out request may keep its connection and slot.
--- a/rhubarbhinge/routing/_sending.py
+++ b/rhubarbhinge/routing/_sending.py
@@ -51,7 +51,9 @@
     _open_missing(upstream, now_ms, effects)
 
 
-def after_event(table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
+def refresh_and_send(
+    table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]
+) -> None:
     """Update a searcher's concurrency limit after an event, then send or fail queued requests.
 
     :param table: request table; ended requests are removed from it.
--- a/rhubarbhinge/routing/_sweeps.py
+++ b/rhubarbhinge/routing/_sweeps.py
@@ -7,7 +7,7 @@
 from rhubarbhinge.routing._pollhealth import PollHealth
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._requesttable import RequestTable
-from rhubarbhinge.routing._sending import after_event, refuse_late_requests
+from rhubarbhinge.routing._sending import refresh_and_send, refuse_late_requests
 from rhubarbhinge.routing._upstream import Upstream
 
 
@@ -43,7 +43,7 @@
         for upstream in upstreams:
             if now_ms >= upstream.health_at_ms:
                 self._poll_health(upstream, now_ms, effects)
-            after_event(self._requests, upstream, now_ms, effects)
+            refresh_and_send(self._requests, upstream, now_ms, effects)
             refuse_late_requests(self._requests, upstream, now_ms, effects)
         self.due_ms = now_ms + self._period_ms(upstreams, now_ms)
 
--- a/rhubarbhinge/routing/_upstream.py
+++ b/rhubarbhinge/routing/_upstream.py
@@ -158,7 +158,7 @@
         self.incarnation = health.incarnation
         self.limit.set_warming(health.state == "warming", now_ms)
         if health.state == "draining":
-            self.drain.on_signal()
+            self.drain.on_searcher_signal()
         changed = health.holding != self.holding
         self.holding = health.holding
         return changed
--- a/rhubarbhinge/routing/_upstreamtable.py
+++ b/rhubarbhinge/routing/_upstreamtable.py
@@ -8,7 +8,7 @@
 from rhubarbhinge.routing._draincache import DrainCache
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._requesttable import RequestTable
-from rhubarbhinge.routing._sending import after_event
+from rhubarbhinge.routing._sending import refresh_and_send
 from rhubarbhinge.routing._upstream import Upstream
 from rhubarbhinge.routing._upstreamspec import UpstreamSpec
 from rhubarbhinge.wire import SubCode
@@ -78,7 +78,7 @@
         self._leaving = upstream_ids
         for upstream_id, upstream in self.by_id.items():
             upstream.drain.on_vm_list(upstream_id in upstream_ids)
-            after_event(self._requests, upstream, now_ms, effects)
+            refresh_and_send(self._requests, upstream, now_ms, effects)
 
     def remove_if_closed(self, upstream: Upstream) -> None:
         """Remove a searcher that is no longer owned once its last connection has closed.
@@ -100,7 +100,7 @@
         upstream.owned = True
         upstream.set_spec(spec, effects)
         upstream.drain.on_register(spec.leaving, self.revision)
-        after_event(self._requests, upstream, now_ms, effects)
+        refresh_and_send(self._requests, upstream, now_ms, effects)
 
     def _remove_owned(self, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
         upstream.owned = False
--- a/rhubarbhinge/routing/tests/test_relaycore.py
+++ b/rhubarbhinge/routing/tests/test_relaycore.py
@@ -164,7 +164,8 @@
 
 
 class TestConcurrency(unittest.TestCase):
-    def test_a_fractional_clock_gives_a_whole_number_of_slots(self):
+    def test_ramp_with_a_fractional_clock_opens_connections(self):
+        # A float limit, from a clock with fractions, would fail as the number of connections.
         shell = FakeShell(spec(0, slots=4, connections=20))
         shell.connect()
         shell.health(0, health(0))
