--- a/rhubarbhinge/daemons/_relaydaemon.py
+++ b/rhubarbhinge/daemons/_relaydaemon.py
@@ -48,7 +48,7 @@
             return
         for report in self._work.core.holdings():
             self.links.send(peer.name, report)
-        self.links.send(peer.name, self._work.core.reports(self.timers.now_ms()))
+        self.links.send(peer.name, self._work.core.load_report(self.timers.now_ms()))
 
     def on_peer_down(self, peer: Peer) -> None:
         """Drop the work of an entry that is gone.
--- a/rhubarbhinge/daemons/_relaywork.py
+++ b/rhubarbhinge/daemons/_relaywork.py
@@ -126,7 +126,7 @@
 
         :returns: counts of searchers, queues and slots.
         """
-        report = self.core.reports(self._timers.now_ms())
+        report = self.core.load_report(self._timers.now_ms())
         return {
             "searchers": len(report.upstream_ids),
             "queued": sum(report.queued),
@@ -144,7 +144,7 @@
         :param metrics: the node's metrics.
         :param system_of: names of the searchers' systems.
         """
-        report = self.core.reports(self._timers.now_ms())
+        report = self.core.load_report(self._timers.now_ms())
         in_use: Counter[str] = Counter()
         total: Counter[str] = Counter()
         rows = zip(report.upstream_ids, report.in_flight, report.slots, strict=True)
--- a/rhubarbhinge/daemons/tests/simulated_runs.py
+++ b/rhubarbhinge/daemons/tests/simulated_runs.py
@@ -163,7 +163,7 @@
         peer = Peer("a/relay", "relay", "a", self.incarnation)
         self.runs.on_link_up(peer)
         if self.link.up:
-            self.link.to_entry.append(self.relay.core.reports(self.timers.now_ms()))
+            self.link.to_entry.append(self.relay.core.load_report(self.timers.now_ms()))
 
     def cut(self) -> None:
         """Lose the link with all that is on it; both sides notice."""
--- a/rhubarbhinge/routing/_relaycore.py
+++ b/rhubarbhinge/routing/_relaycore.py
@@ -306,7 +306,7 @@
         if now_ms >= self._sweeps.due_ms:
             self._sweeps.sweep(self._upstreams.owned(), now_ms, effects)
         if now_ms >= self._reports.due_ms:
-            self._reports.publish(self.reports(now_ms), now_ms, effects)
+            self._reports.publish(self.load_report(now_ms), now_ms, effects)
             self._requests.remove_expired_tickets(now_ms)
         return effects
 
@@ -319,7 +319,7 @@
         wake_ms = min(self._sweeps.due_ms, self._reports.due_ms)
         return wake_ms if due_ms is None else min(wake_ms, due_ms)
 
-    def reports(self, now_ms: int) -> UpstreamReport:
+    def load_report(self, now_ms: int) -> UpstreamReport:
         """Return a load report for all owned searchers.
 
         :param now_ms: current time in ms.
--- a/rhubarbhinge/routing/tests/fakeshell.py
+++ b/rhubarbhinge/routing/tests/fakeshell.py
@@ -200,13 +200,13 @@
         return [reply.code for reply in self.replies.values()]
 
     def report(self, index: int = 0) -> dict[str, int]:
-        report = self.core.reports(self.now_ms)
+        report = self.core.load_report(self.now_ms)
         at = report.upstream_ids.index(IDS[index])
         names = ("states", "queued", "in_flight", "slots")
         return {name: getattr(report, name)[at] for name in names}
 
     def report_sum(self, name: str) -> int:
-        return sum(getattr(self.core.reports(self.now_ms), name))
+        return sum(getattr(self.core.load_report(self.now_ms), name))
 
     def _openconnection(self, effect: OpenConnection) -> None:
         assert effect.conn not in self.conns
--- a/rhubarbhinge/routing/tests/test_schedules.py
+++ b/rhubarbhinge/routing/tests/test_schedules.py
@@ -107,7 +107,7 @@
 
 
 def _drain(shell: FakeShell, index: int, number: int) -> None:
-    owned = shell.core.reports(shell.now_ms).upstream_ids
+    owned = shell.core.load_report(shell.now_ms).upstream_ids
     if IDS[index] not in owned:
         return
     if number < 2:
