--- a/rhubarbhinge/routing/_refusals.py
+++ b/rhubarbhinge/routing/_admission.py
@@ -1,4 +1,4 @@
-"""Which requests a relay refuses at once."""
+"""Admission control for requests that arrive at a relay."""
 
 from math import ceil
 
@@ -7,14 +7,16 @@
 from rhubarbhinge.wire import SubCode
 
 
-def refusal(upstream: Upstream | None, weight: int, due_ms: int, now_ms: int) -> Refusal | None:
-    """Decide whether a request is refused at once, so that its entry may try a replica in time.
+def check_admission(
+    upstream: Upstream | None, weight: int, due_ms: int, now_ms: int
+) -> Refusal | None:
+    """Decide whether to refuse a request on arrival, so that its entry can try a replica in time.
 
-    :param upstream: the searcher's state, None when it is not known.
+    :param upstream: the searcher's state, None if it is not known.
     :param weight: the weight of the request's class.
-    :param due_ms: when its answer has to be back at the relay.
-    :param now_ms: the time.
-    :returns: None when it is taken.
+    :param due_ms: time by which the relay needs the response.
+    :param now_ms: current time in ms.
+    :returns: the refusal, or None if the request is admitted.
     """
     if upstream is None or not upstream.owned:
         return Refusal(int(SubCode.WRONG_RECEIVER))
@@ -29,10 +31,10 @@
 
 
 def _queue_refusal(upstream: Upstream, weight: int, left_ms: int, now_ms: int) -> Refusal | None:
-    least_ms = upstream.policy.least_retry_after_ms
+    min_retry_after_ms = upstream.policy.least_retry_after_ms
     refused_ms = upstream.pool.refused_wait_ms(now_ms)
     if refused_ms is not None:
-        return Refusal(int(SubCode.LOST), max(least_ms, refused_ms))
+        return Refusal(int(SubCode.LOST), max(min_retry_after_ms, refused_ms))
     if not upstream.policy.early_refusal:
         return None
     late_ms = ceil(upstream.wait_ms(weight, now_ms) - left_ms)
@@ -40,4 +42,4 @@
         late_ms = max(late_ms, ceil(upstream.service_ms))
     if late_ms <= 0:
         return None
-    return Refusal(int(SubCode.QUEUE_FULL), max(least_ms, late_ms))
+    return Refusal(int(SubCode.QUEUE_FULL), max(min_retry_after_ms, late_ms))
--- a/rhubarbhinge/routing/_intake.py
+++ b/rhubarbhinge/routing/_intake.py
@@ -1,34 +1,34 @@
-"""Takes entries' requests in, or refuses them."""
+"""Accepts or refuses requests from entries."""
 
 from typing import Any
 
+from rhubarbhinge.routing._admission import check_admission
 from rhubarbhinge.routing._deadlines import Deadlines
 from rhubarbhinge.routing._job import Job
 from rhubarbhinge.routing._refusal import Refusal
-from rhubarbhinge.routing._refusals import refusal
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._reply import Reply
 from rhubarbhinge.routing._requesttable import RequestTable
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.routing._runresult import RunResult
 from rhubarbhinge.routing._sending import send_or_queue
 from rhubarbhinge.routing._sweeps import Sweeps
 from rhubarbhinge.routing._upstreamtable import UpstreamTable
 from rhubarbhinge.wire import SubBatch, SubCode
 
-#: Runs go before searches of any class; the weights of classes are far below.
+#: Ranks runs ahead of searches; the weights of all search classes are far lower.
 RUN_WEIGHT = 1 << 62
 
 
 class Intake:
-    """Makes requests of what entries send, and numbers the searches.
-
-    :param incarnation: the relay's incarnation, which the names of its calls begin with.
-    :param policy: settings.
-    :param requests: all requests of the relay.
-    :param deadlines: what becomes due at the relay.
-    :param upstreams: the searchers.
-    :param sweeps: brought forward when there is work.
+    """Creates requests from entries' messages, and assigns call identifiers to searches.
+
+    :param incarnation: the relay's incarnation, used as the prefix of call identifiers.
+    :param policy: relay settings.
+    :param requests: all unfinished requests of the relay.
+    :param deadlines: deadline queue of the relay.
+    :param upstreams: table of searchers.
+    :param sweeps: sweep schedule; new work brings the next sweep forward.
     """
 
     def __init__(
@@ -50,21 +50,21 @@
         self._call_format = b"%d.%%d" % incarnation
 
     def batch(self, peer: str, batch: SubBatch, head: bytes, now_ms: int) -> list[Any]:
-        """Take sub-queries that are meant for this relay.
+        """Accept or refuse sub-queries that are addressed to this relay.
 
         :param peer: the entry's link.
-        :param batch: the message, with columns of one length.
-        :param head: what their bodies have in common.
-        :param now_ms: the time.
-        :returns: effects.
+        :param batch: the message, with columns of equal length.
+        :param head: common start of the request bodies.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
-        self._sweeps.soon(now_ms)
+        self._sweeps.request_sweep(now_ms)
         effects: list[Any] = []
         call_id = batch.call_id
         weight = batch.weight
         due_ms = self._due_ms(batch.deadline_ms, now_ms)
         due = self._deadlines.bucket(due_ms)
-        jobs = self._requests.of_live_peer(peer)
+        jobs = self._requests.get_or_create_for_peer(peer)
         tail_format = self._tail_format
         call_format = self._call_format
         upstreams = self._upstreams.by_id
@@ -76,7 +76,7 @@
             if key in jobs:
                 continue
             upstream = upstreams.get(upstream_id)
-            refused = refusal(upstream, weight, due_ms, now_ms)
+            refused = check_admission(upstream, weight, due_ms, now_ms)
             if refused is not None:
                 effects.append(_refusal_reply(peer, key, refused))
                 continue
@@ -98,30 +98,30 @@
         deadline_ms: int,
         now_ms: int,
     ) -> list[Any]:
-        """Take a run whose ticket is new.
+        """Accept or refuse a run with a new ticket.
 
         :param peer: the entry's link.
         :param ticket: its ticket.
         :param upstream_id: the searcher.
-        :param parts: what goes before and after the deadline in its body.
-        :param deadline_ms: time left when the message was made.
-        :param now_ms: the time.
-        :returns: effects.
+        :param parts: request body before and after the deadline value.
+        :param deadline_ms: time left when the message was created.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         upstream = self._upstreams.by_id.get(upstream_id)
         due_ms = self._due_ms(deadline_ms, now_ms)
-        refused = refusal(upstream, RUN_WEIGHT, due_ms, now_ms)
+        refused = check_admission(upstream, RUN_WEIGHT, due_ms, now_ms)
         if refused is not None:
             retry_after_ms = refused.retry_after_ms
-            return [RunResult(peer, ticket, RunKind.REFUSED_NOT_RUN, b"", retry_after_ms)]
+            return [RunResult(peer, ticket, RunOutcome.REFUSED_NOT_RUN, b"", retry_after_ms)]
         head, tail = parts
         job = Job(peer, ticket, upstream, RUN_WEIGHT, now_ms, due_ms, b"", head, tail)
-        self._requests.remember_ticket(ticket, now_ms)
-        self._requests.of_live_peer(peer)[ticket] = job
+        self._requests.record_ticket(ticket, now_ms)
+        self._requests.get_or_create_for_peer(peer)[ticket] = job
         self._deadlines.bucket(due_ms).append(job)
         effects: list[Any] = []
         send_or_queue(upstream, job, now_ms, effects)
-        self._sweeps.soon(now_ms)
+        self._sweeps.request_sweep(now_ms)
         return effects
 
     def _due_ms(self, deadline_ms: int, now_ms: int) -> int:
@@ -129,12 +129,12 @@
         return now_ms + left_ms - self._policy.reply_margin_ms
 
 
-def wrong_receiver(peer: str, batch: SubBatch) -> list[Any]:
-    """Refuse sub-queries that are meant for another relay, or for another incarnation of this one.
+def refuse_wrong_receiver(peer: str, batch: SubBatch) -> list[Any]:
+    """Refuse sub-queries addressed to another relay, or to another incarnation of this one.
 
     :param peer: the entry's link.
     :param batch: the message.
-    :returns: effects.
+    :returns: effects to carry out.
     """
     refused = Refusal(int(SubCode.WRONG_RECEIVER))
     return [
--- a/rhubarbhinge/routing/_relaycore.py
+++ b/rhubarbhinge/routing/_relaycore.py
@@ -1,27 +1,27 @@
-"""The relay's decisions: one queue in front of each searcher that it owns."""
+"""Sans-I/O core of the relay, with one queue for each searcher that it owns."""
 
 from random import Random
 from typing import Any
 
-from rhubarbhinge.routing._answerreading import read_run, read_search
-from rhubarbhinge.routing._answers import says_draining
+from rhubarbhinge.routing._completion import cancel_request, fail, fail_queue
 from rhubarbhinge.routing._connection import Connection
 from rhubarbhinge.routing._connectiontable import ConnectionTable
 from rhubarbhinge.routing._deadlines import Deadlines
 from rhubarbhinge.routing._droppeer import DropPeer
 from rhubarbhinge.routing._expiry import expire
-from rhubarbhinge.routing._healthdoc import HealthDoc, health_doc
-from rhubarbhinge.routing._intake import Intake, wrong_receiver
+from rhubarbhinge.routing._healthdoc import HealthDoc, parse_health_doc
+from rhubarbhinge.routing._intake import Intake, refuse_wrong_receiver
 from rhubarbhinge.routing._job import Job
 from rhubarbhinge.routing._loadreports import LoadReports, load_report
 from rhubarbhinge.routing._publishholding import PublishHolding
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._requestbodies import run_parts, search_head
-from rhubarbhinge.routing._requestends import abandon, fail, fail_queue
 from rhubarbhinge.routing._requesttable import RequestTable
-from rhubarbhinge.routing._runkind import RunKind
+from rhubarbhinge.routing._responsehandling import handle_run_response, handle_search_response
+from rhubarbhinge.routing._responses import reports_draining
+from rhubarbhinge.routing._runoutcome import RunOutcome
 from rhubarbhinge.routing._runresult import RunResult
-from rhubarbhinge.routing._sending import after_event, send_queued
+from rhubarbhinge.routing._sending import refresh_and_send, send_queued
 from rhubarbhinge.routing._sweeps import Sweeps
 from rhubarbhinge.routing._upstream import Upstream
 from rhubarbhinge.routing._upstreamspec import UpstreamSpec
@@ -33,15 +33,15 @@
 
 
 class RelayCore:
-    """Queues, slots, connections and drain of the searchers that one relay owns.
+    """State machine for the queues, slots, connections and draining of a relay's searchers.
 
-    Each input returns the effects that the shell carries out, in order. A connection counts
+    Each input method returns the effects that the shell carries out, in order. A connection counts
     against its searcher's cap, and a request against its slots, until the shell calls
-    :meth:`on_connection_closed` (it does so once for each connection, also after its own close).
+    :meth:`on_connection_closed`, once for each connection, including those that it closed itself.
 
     :param incarnation: this relay's incarnation.
-    :param settings: settings.
-    :param rng: random source, for jitter.
+    :param settings: relay settings.
+    :param rng: random number generator for jitter.
     """
 
     def __init__(self, incarnation: int, settings: RelayPolicy, rng: Random) -> None:
@@ -69,54 +69,54 @@
         return self._upstreams.revision
 
     def is_idle(self) -> bool:
-        """Tell whether no entry waits for anything, so that the relay may stop.
+        """Return whether no entry waits for a result, so that the relay may stop.
 
-        :returns: True when there is no request.
+        :returns: True if there is no unfinished request.
         """
         return self._requests.is_idle()
 
     def set_upstreams(
         self, register_revision: int, owned: tuple[UpstreamSpec, ...], now_ms: int
     ) -> list[Any]:
-        """Take the searchers that this relay owns; an older register revision is ignored.
+        """Update the searchers that this relay owns; an older register revision is ignored.
 
-        With none, the relay hands over: it answers its queues, lets what is in flight end, and
-        closes its connections.
+        An empty tuple hands over all searchers: the relay fails queued requests, lets those in
+        flight finish, and closes its connections.
 
-        :param register_revision: the register that they come from.
-        :param owned: the searchers.
-        :param now_ms: the time.
-        :returns: effects.
+        :param register_revision: revision of the register that lists them.
+        :param owned: searchers that this relay owns.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         self._upstreams.set_owned(register_revision, owned, now_ms, effects)
         return effects
 
     def set_leaving(self, upstream_ids: frozenset[int], now_ms: int) -> list[Any]:
-        """Take the searchers whose VMs the platform's list calls leaving.
+        """Update the searchers whose VMs are marked as leaving in the platform's VM list.
 
-        :param upstream_ids: all of them, owned or not.
-        :param now_ms: the time.
-        :returns: effects.
+        :param upstream_ids: all leaving searchers, owned or not.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         self._upstreams.set_leaving(upstream_ids, now_ms, effects)
         return effects
 
     def on_batch(self, peer: str, batch: SubBatch, now_ms: int) -> list[Any]:
-        """Take sub-queries.
+        """Accept or refuse a batch of sub-queries.
 
         :param peer: the entry's link.
-        :param batch: the message, from anyone who holds the deployment key.
-        :param now_ms: the time.
-        :returns: effects.
+        :param batch: unvalidated message; any holder of the deployment key can send it.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         columns = (batch.parts, batch.attempts, batch.upstream_ids, batch.los, batch.his)
         head = search_head(batch)
         if head is None or not _same_length(columns):
             return [DropPeer(peer, "malformed")]
         if batch.receiver_incarnation != self._incarnation:
-            return wrong_receiver(peer, batch)
+            return refuse_wrong_receiver(peer, batch)
         return self._intake.batch(peer, batch, head, now_ms)
 
     def on_run(
@@ -129,92 +129,92 @@
         deadline_ms: int,
         now_ms: int,
     ) -> list[Any]:
-        """Take a request that must not repeat; it is sent once at most.
+        """Accept or refuse a run, a request that is sent at most once.
 
         :param peer: the entry's link.
-        :param ticket: its ticket; one that may have been sent before is not sent again.
+        :param ticket: the run's ticket; one that may have been sent before is not sent again.
         :param upstream_id: the searcher.
-        :param action: what to run.
-        :param body: the caller's JSON object.
-        :param deadline_ms: time left when the message was made.
-        :param now_ms: the time.
-        :returns: effects.
+        :param action: name of the action to run.
+        :param body: JSON object from the caller.
+        :param deadline_ms: time left when the message was created.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         if self._requests.knows_ticket(ticket):
-            return [RunResult(peer, ticket, RunKind.UNKNOWN, b"", 0)]
+            return [RunResult(peer, ticket, RunOutcome.UNKNOWN, b"", 0)]
         parts = run_parts(ticket, action, body)
         if parts is None:
-            return [RunResult(peer, ticket, RunKind.REFUSED_NOT_RUN, b"", 0)]
+            return [RunResult(peer, ticket, RunOutcome.REFUSED_NOT_RUN, b"", 0)]
         return self._intake.run(peer, ticket, upstream_id, parts, deadline_ms, now_ms)
 
     def knows_ticket(self, ticket: str) -> bool:
-        """Tell whether a run is queued here or may have been sent.
+        """Return whether a run is queued here or may have been sent.
 
         :param ticket: its ticket.
-        :returns: False when it is new, or known not to have been sent.
+        :returns: False if it is new, or known not to have been sent.
         """
         return self._requests.knows_ticket(ticket)
 
     def on_cancel(self, peer: str, batch: CancelBatch, now_ms: int) -> list[Any]:
-        """Give up sub-queries; those in flight keep their slot until they end.
+        """Cancel sub-queries; those in flight keep their slots until they end.
 
         :param peer: the entry's link.
-        :param batch: the sub-queries.
-        :param now_ms: the time.
-        :returns: effects.
+        :param batch: the sub-queries to cancel.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         columns = (batch.call_ids, batch.parts, batch.attempts)
         if not _same_length(columns):
             return [DropPeer(peer, "malformed")]
         effects: list[Any] = []
-        jobs = self._requests.of_peer(peer, {})
+        jobs = self._requests.get_for_peer(peer, {})
         for key in zip(*columns, strict=True):
             job = jobs.get(key)
             if job is not None:
-                abandon(self._requests, job, effects)
+                cancel_request(self._requests, job, effects)
         return effects
 
     def on_peer_gone(self, peer: str, now_ms: int) -> list[Any]:
-        """Give up all that an entry waits for, but for runs in flight, which end with a result.
+        """Cancel all requests of an entry except runs in flight, which end with a result.
 
         :param peer: the entry's link.
-        :param now_ms: the time.
-        :returns: effects.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
-        for job in list(self._requests.of_peer(peer, {}).values()):
-            abandon(self._requests, job, effects)
-        self._requests.drop_peer(peer)
+        for job in list(self._requests.get_for_peer(peer, {}).values()):
+            cancel_request(self._requests, job, effects)
+        self._requests.remove_peer(peer)
         return effects
 
     def on_connected(self, conn: int, now_ms: int) -> list[Any]:
-        """Note that a connection is open.
+        """Record that a connection is open.
 
         :param conn: the connection.
-        :param now_ms: the time.
-        :returns: effects.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         connection = self._connections.get(conn)
         if connection is None or connection.open or connection.closing:
             return effects
-        connection.upstream.pool.opened(connection, effects)
-        after_event(self._requests, connection.upstream, now_ms, effects)
+        connection.upstream.pool.on_opened(connection, effects)
+        refresh_and_send(self._requests, connection.upstream, now_ms, effects)
         return effects
 
     def on_connection_closed(self, conn: int, now_ms: int) -> list[Any]:
-        """Note that a connection is closed, failed to open, or was refused.
+        """Record that a connection is closed, failed to open, or was refused.
 
         :param conn: the connection.
-        :param now_ms: the time.
-        :returns: effects.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         connection = self._connections.pop(conn)
         if connection is None:
             return effects
         upstream = connection.upstream
-        upstream.pool.closed(connection, now_ms)
+        upstream.pool.on_closed(connection, now_ms)
         job = connection.job
         if job is not None:
             upstream.in_flight -= 1
@@ -225,21 +225,21 @@
         wait_ms = upstream.pool.refused_wait_ms(now_ms)
         if wait_ms is not None:
             fail_queue(self._requests, upstream, SubCode.LOST, wait_ms, now_ms, effects)
-        after_event(self._requests, upstream, now_ms, effects)
-        self._upstreams.forget_if_gone(upstream)
+        refresh_and_send(self._requests, upstream, now_ms, effects)
+        self._upstreams.remove_if_closed(upstream)
         return effects
 
     def on_reply(
         self, conn: int, status: int, draining_header: bool, body: bytes, now_ms: int
     ) -> list[Any]:
-        """Take a searcher's whole answer.
+        """Process a complete HTTP response from a searcher.
 
         :param conn: the connection.
-        :param status: HTTP status.
-        :param draining_header: whether the answer carried ``Draining: 1``.
-        :param body: the answer's body.
-        :param now_ms: the time.
-        :returns: effects.
+        :param status: HTTP status code.
+        :param draining_header: whether the response had the header ``Draining: 1``.
+        :param body: response body.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         connection = self._connections.get(conn)
@@ -254,14 +254,14 @@
         job.connection = None
         upstream.in_flight -= 1
         upstream.last_answer_ms = now_ms
-        upstream.pool.served(connection)
-        if draining_header or says_draining(status, body):
-            _note_drain(connection)
-        read = read_search if job.call else read_run
-        plain = read(self._requests, job, connection, status, body, now_ms, effects)
+        upstream.pool.on_response(connection)
+        if draining_header or reports_draining(status, body):
+            _record_drain_signal(connection)
+        handle = handle_search_response if job.call else handle_run_response
+        limit_unchanged = handle(self._requests, job, connection, status, body, now_ms, effects)
         upstream.pool.release(connection, effects)
-        if not plain or upstream.drain.draining:
-            after_event(self._requests, upstream, now_ms, effects)
+        if not limit_unchanged or upstream.drain.draining:
+            refresh_and_send(self._requests, upstream, now_ms, effects)
         elif upstream.queue.count:
             send_queued(self._requests, upstream, now_ms, effects)
         return effects
@@ -273,31 +273,31 @@
         now_ms: int,
         draining_header: bool = False,
     ) -> list[Any]:
-        """Take the answer to a health poll; one of an older incarnation is ignored.
+        """Process the response to a health poll; one of an older incarnation is ignored.
 
         :param upstream_id: the searcher.
-        :param doc: the parsed document, or None when there was none.
-        :param now_ms: the time.
-        :param draining_header: whether the answer carried ``Draining: 1``.
-        :returns: effects.
+        :param doc: parsed health document, or None if the poll failed.
+        :param now_ms: current time in ms.
+        :param draining_header: whether the response had the header ``Draining: 1``.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         upstream = self._upstreams.by_id.get(upstream_id)
         if upstream is None or not upstream.owned:
             return effects
-        health = health_doc(upstream_id, upstream.spec.name, doc)
+        health = parse_health_doc(upstream_id, upstream.spec.name, doc)
         if health is None:
             upstream.health_failures += 1
         elif upstream.incarnation is None or health.incarnation >= upstream.incarnation:
-            _take_health(upstream, health, draining_header, now_ms, effects)
-        after_event(self._requests, upstream, now_ms, effects)
+            _apply_health(upstream, health, draining_header, now_ms, effects)
+        refresh_and_send(self._requests, upstream, now_ms, effects)
         return effects
 
     def tick(self, now_ms: int) -> list[Any]:
-        """Do what is due: expiry, ramps, connections, health polls and reports.
+        """Perform due work: expiry, ramps, connections, health polls and load reports.
 
-        :param now_ms: the time.
-        :returns: effects.
+        :param now_ms: current time in ms.
+        :returns: effects to carry out.
         """
         effects: list[Any] = []
         for item in self._deadlines.pop_due(now_ms):
@@ -306,56 +306,56 @@
         if now_ms >= self._sweeps.due_ms:
             self._sweeps.sweep(self._upstreams.owned(), now_ms, effects)
         if now_ms >= self._reports.due_ms:
-            self._reports.publish(self.reports(now_ms), now_ms, effects)
-            self._requests.forget_old_tickets(now_ms)
+            self._reports.publish(self.load_report(now_ms), now_ms, effects)
+            self._requests.remove_expired_tickets(now_ms)
         return effects
 
     def next_wake_ms(self) -> int:
-        """Give the time at which :meth:`tick` has something to do.
+        """Return the time at which :meth:`tick` must be called next.
 
-        :returns: the time in ms.
+        :returns: time in ms.
         """
         due_ms = self._deadlines.next_ms()
         wake_ms = min(self._sweeps.due_ms, self._reports.due_ms)
         return wake_ms if due_ms is None else min(wake_ms, due_ms)
 
-    def reports(self, now_ms: int) -> UpstreamReport:
-        """Give the load of all owned searchers.
+    def load_report(self, now_ms: int) -> UpstreamReport:
+        """Return a load report for all owned searchers.
 
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         :returns: the report.
         """
         return load_report(self._upstreams.owned(), now_ms)
 
     def open_work(self) -> int:
-        """Count queued and in-flight requests, at searchers that were handed over too.
+        """Count queued and in-flight requests, including those at searchers that were handed over.
 
-        :returns: their number.
+        :returns: number of requests.
         """
         upstreams = self._upstreams.by_id.values()
         return sum(upstream.queue.count + upstream.in_flight for upstream in upstreams)
 
     def holdings(self) -> tuple[HoldingReport, ...]:
-        """Give what all owned searchers hold, for an entry that has just linked.
+        """Return the holding reports of all owned searchers, for a newly linked entry.
 
-        :returns: the latest report of each searcher that was heard from.
+        :returns: latest report of each searcher that has sent one.
         """
         found = (upstream.holding for upstream in self._upstreams.owned())
         return tuple(holding for holding in found if holding is not None)
 
 
-def _take_health(
+def _apply_health(
     upstream: Upstream, health: HealthDoc, draining_header: bool, now_ms: int, effects: list[Any]
 ) -> None:
-    if upstream.take_health(health, now_ms, effects):
+    if upstream.apply_health(health, now_ms, effects):
         effects.append(PublishHolding(health.holding))
     if draining_header:
-        upstream.drain.on_signal()
+        upstream.drain.on_searcher_signal()
 
 
-def _note_drain(connection: Connection) -> None:
+def _record_drain_signal(connection: Connection) -> None:
     if connection.opened_ms >= connection.upstream.started_ms:
-        connection.upstream.drain.on_signal()
+        connection.upstream.drain.on_searcher_signal()
 
 
 def _same_length(columns: tuple[tuple[Any, ...], ...]) -> bool:
--- a/rhubarbhinge/routing/_sending.py
+++ b/rhubarbhinge/routing/_sending.py
@@ -1,10 +1,10 @@
-"""Sends requests to a searcher, at once or from its queue."""
+"""Sends requests to a searcher, directly or from its queue."""
 
 from math import ceil
 from typing import Any
 
+from rhubarbhinge.routing._completion import fail, fail_queue
 from rhubarbhinge.routing._job import Job
-from rhubarbhinge.routing._requestends import fail, fail_queue
 from rhubarbhinge.routing._requesttable import RequestTable
 from rhubarbhinge.routing._sendrun import SendRun
 from rhubarbhinge.routing._sendsearch import SendSearch
@@ -13,30 +13,30 @@
 
 
 def send_or_queue(upstream: Upstream, job: Job, now_ms: int, effects: list[Any]) -> None:
-    """Send a request that was not refused, or let it wait.
+    """Send an admitted request, or queue it.
 
     :param upstream: the searcher's state.
     :param job: the request.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     pool = upstream.pool
     if pool.idle and upstream.in_flight < upstream.allowed:
         left_ms = job.due_ms - now_ms - upstream.policy.upstream_margin_ms
         _send(upstream, job, left_ms, now_ms, effects)
-        pool.keep_ready(0, now_ms, effects)
+        pool.open_missing(0, now_ms, effects)
         return
     upstream.queue.push(job)
-    _keep_ready(upstream, now_ms, effects)
+    _open_missing(upstream, now_ms, effects)
 
 
 def send_queued(table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
-    """Send what waits, as far as there are slots and connections; drop what is too late.
+    """Send queued requests while there are slots and connections; fail those past their deadline.
 
-    :param table: where ended requests are forgotten.
+    :param table: request table; ended requests are removed from it.
     :param upstream: the searcher's state.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     pool = upstream.pool
     queue = upstream.queue
@@ -48,16 +48,18 @@
             continue
         queue.pop()
         _send(upstream, job, left_ms, now_ms, effects)
-    _keep_ready(upstream, now_ms, effects)
+    _open_missing(upstream, now_ms, effects)
 
 
-def after_event(table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
-    """Act on whatever may have changed how many requests a searcher gets.
+def refresh_and_send(
+    table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]
+) -> None:
+    """Update a searcher's concurrency limit after an event, then send or fail queued requests.
 
-    :param table: where ended requests are forgotten.
+    :param table: request table; ended requests are removed from it.
     :param upstream: the searcher's state.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     upstream.refresh(now_ms)
     if not upstream.owned:
@@ -69,15 +71,15 @@
     send_queued(table, upstream, now_ms, effects)
 
 
-def refuse_hopeless(
+def refuse_late_requests(
     table: RequestTable, upstream: Upstream, now_ms: int, effects: list[Any]
 ) -> None:
-    """Refuse waiting requests that cannot make it any more, while another replica still can.
+    """Refuse queued requests that can no longer meet their deadline, while a replica still might.
 
-    :param table: where ended requests are forgotten.
+    :param table: request table; ended requests are removed from it.
     :param upstream: the searcher's state.
-    :param now_ms: the time.
-    :param effects: where effects are put.
+    :param now_ms: current time in ms.
+    :param effects: list that effects are appended to.
     """
     if not upstream.queue.count:
         return
@@ -92,13 +94,13 @@
         fail(table, job, SubCode.QUEUE_FULL, retry_after_ms, now_ms, effects)
 
 
-def _keep_ready(upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
+def _open_missing(upstream: Upstream, now_ms: int, effects: list[Any]) -> None:
     free_slots = max(0, upstream.allowed - upstream.in_flight)
-    upstream.pool.keep_ready(min(free_slots, upstream.queue.count), now_ms, effects)
+    upstream.pool.open_missing(min(free_slots, upstream.queue.count), now_ms, effects)
 
 
 def _send(upstream: Upstream, job: Job, left_ms: int, now_ms: int, effects: list[Any]) -> None:
-    conn = upstream.pool.take(job).conn
+    conn = upstream.pool.assign(job).conn
     job.state = Job.SENT
     job.sent_ms = now_ms
     upstream.in_flight += 1
--- a/rhubarbhinge/routing/_sweeps.py
+++ b/rhubarbhinge/routing/_sweeps.py
@@ -1,4 +1,4 @@
-"""The regular look at all owned searchers."""
+"""Periodic sweep over all owned searchers."""
 
 from math import ceil
 from random import Random
@@ -7,17 +7,17 @@
 from rhubarbhinge.routing._pollhealth import PollHealth
 from rhubarbhinge.routing._relaypolicy import RelayPolicy
 from rhubarbhinge.routing._requesttable import RequestTable
-from rhubarbhinge.routing._sending import after_event, refuse_hopeless
+from rhubarbhinge.routing._sending import refresh_and_send, refuse_late_requests
 from rhubarbhinge.routing._upstream import Upstream
 
 
 class Sweeps:
-    """Polls health, lets ramps and pauses take effect, and refuses what cannot make it.
+    """Polls health, applies ramps and pauses, and refuses requests that cannot meet their deadline.
 
-    :param policy: settings.
-    :param rng: random source, for jitter.
-    :param requests: all requests of the relay.
-    :ivar due_ms: when the next sweep is.
+    :param policy: relay settings.
+    :param rng: random number generator for jitter.
+    :param requests: all unfinished requests of the relay.
+    :ivar due_ms: time of the next sweep.
     """
 
     def __init__(self, policy: RelayPolicy, rng: Random, requests: RequestTable) -> None:
@@ -26,25 +26,25 @@
         self._rng = rng
         self._requests = requests
 
-    def soon(self, now_ms: int) -> None:
-        """Sweep within the period for when there is work.
+    def request_sweep(self, now_ms: int) -> None:
+        """Schedule the next sweep within ``sweep_period_ms``, because there is work.
 
-        :param now_ms: the time.
+        :param now_ms: current time in ms.
         """
         self.due_ms = min(self.due_ms, now_ms + self._policy.sweep_period_ms)
 
     def sweep(self, upstreams: list[Upstream], now_ms: int, effects: list[Any]) -> None:
-        """Look at all owned searchers, and plan the next sweep.
+        """Sweep all owned searchers, and schedule the next sweep.
 
-        :param upstreams: their states.
-        :param now_ms: the time.
-        :param effects: where effects are put.
+        :param upstreams: the searchers' states.
+        :param now_ms: current time in ms.
+        :param effects: list that effects are appended to.
         """
         for upstream in upstreams:
             if now_ms >= upstream.health_at_ms:
                 self._poll_health(upstream, now_ms, effects)
-            after_event(self._requests, upstream, now_ms, effects)
-            refuse_hopeless(self._requests, upstream, now_ms, effects)
+            refresh_and_send(self._requests, upstream, now_ms, effects)
+            refuse_late_requests(self._requests, upstream, now_ms, effects)
         self.due_ms = now_ms + self._period_ms(upstreams, now_ms)
 
     def _period_ms(self, upstreams: list[Upstream], now_ms: int) -> int:
