--- a/rhubarbhinge/delegation/_remote_attempt_control.py
+++ b/rhubarbhinge/delegation/_remote_attempt_control.py
@@ -55,7 +55,7 @@
         self._schedule_send()
         return False
 
-    def on_ended(self, service: str, mark: int) -> None:
+    def on_searcher_exited(self, service: str, mark: int) -> None:
         """Report a searcher that ended while it had the request.
 
         :param service: the shard.
--- a/rhubarbhinge/gateway/_domain_checks.py
+++ b/rhubarbhinge/gateway/_domain_checks.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from rhubarbhinge.fleet import DomainReach, Fleet, ObservedSearcher
+from rhubarbhinge.fleet import DomainReachability, Fleet, ObservedSearcher
 from rhubarbhinge.forward import ConnectionPool
 from rhubarbhinge.telemetry import log_event
 from rhubarbhinge.timing import TimerService
@@ -31,7 +31,7 @@
     :param timers: the timer service.
     :param fleet: the searchers.
     :param pool: connections to the searchers.
-    :param reach: tracks which failure domains are heard from.
+    :param reachability: tracks which failure domains are heard from.
     :param rng: selects the samples.
     :param on_change: called when the searchers of a domain go down or come back together.
     """
@@ -41,14 +41,14 @@
         timers: TimerService,
         fleet: Fleet,
         pool: ConnectionPool,
-        reach: DomainReach,
+        reachability: DomainReachability,
         rng: random.Random,
         on_change: Callable[[], None],
     ):
         self._timers = timers
         self._fleet = fleet
         self._pool = pool
-        self._reach = reach
+        self._reachability = reachability
         self._rng = rng
         self._on_change = on_change
         self._being_checked: set[str] = set()
@@ -101,12 +101,12 @@
 
     def _finish_check(self, failure_domain: str, since_ms: float) -> None:
         self._being_checked.discard(failure_domain)
-        if self._reach.heard_since(failure_domain, since_ms):
+        if self._reachability.received_since(failure_domain, since_ms):
             return
         usable = self._usable(failure_domain)
         self._down[failure_domain] = set(usable)
         for observed in usable:
-            self._pool.set_aside(observed)
+            self._pool.suspend_searcher(observed)
         log_event(
             "domain-unreachable",
             level="warning",
--- a/rhubarbhinge/gateway/_gateway.py
+++ b/rhubarbhinge/gateway/_gateway.py
@@ -74,7 +74,7 @@
         :param request: the request.
         :param responder: sends the response.
         """
-        caller_request = self._dependencies.dialect.caller_request(request)
+        caller_request = self._dependencies.dialect.decode_request(request)
         plan = self._follower.plan
         if plan is None:
             message = "This entry has no configuration yet."
@@ -88,13 +88,13 @@
         handler = RequestHandler(
             self._dependencies, caller_request, plan, route, responder, request.transit_ms
         )
-        verdict = self._dependencies.quarantine.verdict(
-            caller_request.fingerprint, route.name, spreads=route.shards is not None
+        decision = self._dependencies.quarantine.decide(
+            caller_request.fingerprint, route.name, fans_out=route.shards is not None
         )
-        if isinstance(verdict, Quarantined):
-            handler.refuse(verdict)
+        if isinstance(decision, Quarantined):
+            handler.refuse(decision)
             return
-        handler.watch(verdict == ONE_FIRST)
+        handler.watch(decision == ONE_FIRST)
         if route.shards is not None:
             handler.gather(self.delays_of(route.name, route.target_latency_ms))
         else:
--- a/rhubarbhinge/gateway/_shard_delegation.py
+++ b/rhubarbhinge/gateway/_shard_delegation.py
@@ -18,7 +18,7 @@
     DelegateRequest,
 )
 from rhubarbhinge.fleet import Fleet
-from rhubarbhinge.forward import CallerRequest, Surroundings
+from rhubarbhinge.forward import CallContext, CallerRequest
 from rhubarbhinge.gather import GatherTerms, GrantAttempts, PartialResult, ShardDelegation
 
 MAX_SHARDS_PER_ENTRY = 15
@@ -29,7 +29,7 @@
 
 def shard_delegation(
     failure_domain: str,
-    context: Surroundings,
+    context: CallContext,
     delegates: DelegateClient,
     rng: random.Random,
 ) -> ShardDelegation:
@@ -99,7 +99,7 @@
     for service in services:
         domains = {
             one.searcher.failure_domain
-            for one in fleet.of(service)
+            for one in fleet.of_service(service)
             if one.usable and not one.is_down
         }
         if failure_domain not in domains:
--- a/rhubarbhinge/gateway/_warmup_limiter.py
+++ b/rhubarbhinge/gateway/_warmup_limiter.py
@@ -72,7 +72,7 @@
             return True
         if now_ms < self._settled_at_ms:
             return False
-        own_limit = self._own_limit(observed, self._rule().most_requests(service.warmup_per_s))
+        own_limit = self._own_limit(observed, self._rule().max_requests(service.warmup_per_s))
         return observed.cold_sends(now_ms).has_room(own_limit, now_ms)
 
     def _own_limit(self, observed: ObservedSearcher, limit: int) -> int:
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -18,19 +18,19 @@
     _client,
     _server,
 )
-from rhubarbhinge.fleet import Delays, DomainReach, Fleet, Searcher, expected_cost
+from rhubarbhinge.fleet import Delays, DomainReachability, Fleet, Searcher, expected_cost
 from rhubarbhinge.forward import (
+    CallContext,
     CallerRequest,
     CallTerms,
     Exchange,
+    FailureReason,
     Lost,
     NotRun,
     Outcome,
     Replied,
+    RequestTrace,
     SearcherReply,
-    Story,
-    Surroundings,
-    Why,
 )
 from rhubarbhinge.gateway import _shard_delegation
 from rhubarbhinge.gateway._call_terms import ask_terms, call_terms
@@ -74,7 +74,9 @@
         self.sent = False
         rng, faults = searchers.rng, searchers.faults
         if rng.random() < faults.unreachable:
-            timers.after(rng.choice((0.0, 5.0, 350.0)), lambda: self._end(NotRun(Why.UNREACHABLE)))
+            timers.after(
+                rng.choice((0.0, 5.0, 350.0)), lambda: self._end(NotRun(FailureReason.UNREACHABLE))
+            )
         elif rng.random() < faults.queued:
             timers.after(rng.uniform(1.0, 200.0), self._write)
         else:
@@ -90,7 +92,7 @@
         if not refused:
             self._searchers.run(self._exchange)
         delay_ms = rng.uniform(2.0, 250.0)
-        outcome = NotRun(Why.NO_ROOM) if refused else self._run_outcome(rng, faults)
+        outcome = NotRun(FailureReason.NO_ROOM) if refused else self._run_outcome(rng, faults)
         if outcome is not None:
             self._timers.after(delay_ms, lambda: self._end(outcome))
 
@@ -100,7 +102,7 @@
             return None
         drawn = rng.random()
         if drawn < faults.drop_reply:
-            return Lost(Why.BROKEN)
+            return Lost(FailureReason.BROKEN)
         status = 500 if rng.random() < faults.fail else 200
         signature = f"sig-{self._exchange.searcher.searcher.incarnation}"
         request_id = self._exchange.request.id
@@ -167,7 +169,7 @@
         for searcher in simulation.published:
             fleet.put(searcher)
         budget = RetryBudget(BudgetRule(0.2, 100.0, 10_000.0), self.timers.now_ms, lambda: 1)
-        self.context = Surroundings(
+        self.context = CallContext(
             self.timers,
             fleet,
             expected_cost(domain, rng),
@@ -179,12 +181,14 @@
         def links(*arguments: object, **more: object) -> SimulatedLinks:
             return SimulatedLinks(simulation.network, name, self.timers, *arguments, **more)
 
-        reach = DomainReach(self.timers.now_ms, lambda failure_domain: None)
+        reachability = DomainReachability(self.timers.now_ms, lambda failure_domain: None)
         with (
             mock.patch.object(_client, "Links", links),
             mock.patch.object(_server, "Links", links),
         ):
-            self.delegates = DelegateClient(self.timers, StaticMembers(name), PORT, rng, reach)
+            self.delegates = DelegateClient(
+                self.timers, StaticMembers(name), PORT, rng, reachability
+            )
             self.asks = DelegateServer(
                 self.timers,
                 self.context,
@@ -234,7 +238,7 @@
             self.delays,
             self.delegation,
             on_end,
-            Story(request_id, self.timers.now_ms),
+            RequestTrace(request_id, self.timers.now_ms),
         )
         search.start()
         return search
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from rhubarbhinge.fleet import Searcher
-from rhubarbhinge.forward import CallerRequest, Exchange, Lost, NotRun, Story, Why
+from rhubarbhinge.forward import CallerRequest, Exchange, FailureReason, Lost, NotRun, RequestTrace
 from rhubarbhinge.gateway._call_terms import call_terms
 from rhubarbhinge.gateway.tests.simulated_attempts import (
     ENTRIES,
@@ -103,7 +103,7 @@
     def _write(self) -> None:
         searchers, searcher = self._searchers, self._exchange.searcher.searcher
         if searcher.incarnation in searchers.down:
-            self._timers.after(1.0, lambda: self._end(NotRun(Why.UNREACHABLE)))
+            self._timers.after(1.0, lambda: self._end(NotRun(FailureReason.UNREACHABLE)))
             return
         if self._exchange.request.head != FATAL_HEAD:
             super()._write()
@@ -114,7 +114,7 @@
         searchers.run(self._exchange)
         ends_ms = searchers.rng.uniform(2.0, 60.0)
         searchers.simulation.timers.after(ends_ms, lambda: searchers.end(searcher))
-        self._timers.after(ends_ms + 2.0, lambda: self._end(Lost(Why.BROKEN, True)))
+        self._timers.after(ends_ms + 2.0, lambda: self._end(Lost(FailureReason.BROKEN, True)))
 
 
 class FatalEntry(SimulatedEntry):
@@ -148,8 +148,8 @@
     def take(self, request_id: str, fatal: bool, on_end) -> None:
         """Handle a caller's request as the gateway does."""
         fingerprint = FATAL if fatal else request_id
-        verdict = self.quarantine.verdict(fingerprint, "route")
-        if isinstance(verdict, Quarantined):
+        decision = self.quarantine.decide(fingerprint, "route")
+        if isinstance(decision, Quarantined):
             on_end(None)
             return
         over = []
@@ -163,7 +163,7 @@
             search.cancel()
             ended(TooFewShards((), True))
 
-        watch = self.quarantine.watch(fingerprint, "route", verdict == ONE_FIRST, stopped)
+        watch = self.quarantine.watch(fingerprint, "route", decision == ONE_FIRST, stopped)
         search = self._create_search(request_id, fatal, watch, ended)
         search.start()
         self.timers.after(WAIT_MS, lambda: over or search.time_out())
@@ -194,7 +194,7 @@
             self.delays,
             self.delegation,
             on_end,
-            Story(request_id, self.timers.now_ms),
+            RequestTrace(request_id, self.timers.now_ms),
         )
 
 
--- a/rhubarbhinge/gateway/tests/test_domain_checks.py
+++ b/rhubarbhinge/gateway/tests/test_domain_checks.py
@@ -9,7 +9,7 @@
 import random
 import unittest
 
-from rhubarbhinge.fleet import DomainReach, Fleet, ObservedSearcher, Searcher
+from rhubarbhinge.fleet import DomainReachability, Fleet, ObservedSearcher, Searcher
 from rhubarbhinge.gateway._domain_checks import SAMPLE_SIZE, VERIFY_TIMEOUT_MS, DomainChecks
 from rhubarbhinge.utils.fake_timers import FakeTimers
 
@@ -23,9 +23,9 @@
 class FakePool:
     """Records the connections that are opened; those to reachable searchers succeed."""
 
-    def __init__(self, timers: FakeTimers, reach, is_unreachable):
+    def __init__(self, timers: FakeTimers, reachability, is_unreachable):
         self._timers = timers
-        self._reach = reach
+        self._reachability = reachability
         self._is_dark = is_unreachable
         self.opened: list[ObservedSearcher] = []
         self.set_aside_searchers: list[ObservedSearcher] = []
@@ -34,7 +34,7 @@
         observed.on_unreachable()
         self.open_ahead(observed)
 
-    def set_aside(self, observed: ObservedSearcher) -> None:
+    def suspend_searcher(self, observed: ObservedSearcher) -> None:
         observed.on_unreachable()
         self.set_aside_searchers.append(observed)
 
@@ -45,7 +45,7 @@
 
     def _connected(self, observed: ObservedSearcher) -> None:
         observed.on_connected(self._timers.now_ms())
-        self._reach.on_heard(observed.searcher.failure_domain)
+        self._reachability.on_heard(observed.searcher.failure_domain)
 
 
 class EntryView:
@@ -59,14 +59,14 @@
             for place, domain in enumerate(DOMAINS):
                 name, ip = f"i-{shard}-{place}", f"10.{place}.0.{shard + 1}"
                 self.fleet.put(Searcher(name, f"shard-{shard}", ip, 80, domain, 2))
-        self.reach = DomainReach(
+        self.reachability = DomainReachability(
             timers.now_ms,
             lambda domain: self.checks.suspect(domain),
             lambda domain: self.checks.on_heard(domain),
         )
-        self.pool = FakePool(timers, self.reach, is_unreachable)
+        self.pool = FakePool(timers, self.reachability, is_unreachable)
         self.checks = DomainChecks(
-            timers, self.fleet, self.pool, self.reach, random.Random(seed), self._changed
+            timers, self.fleet, self.pool, self.reachability, random.Random(seed), self._changed
         )
 
     def _changed(self) -> None:
@@ -77,7 +77,7 @@
         for place in places:
             observed = self.of("hall-a")[place]
             observed.on_unreachable()
-            self.reach.on_unreachable("hall-a", observed.searcher.ip)
+            self.reachability.on_unreachable("hall-a", observed.searcher.ip)
 
     def of(self, domain: str) -> list[ObservedSearcher]:
         return [one for one in self.fleet.all() if one.searcher.failure_domain == domain]
@@ -127,7 +127,7 @@
         entry = self.entry(lambda observed: True)
         entry.fall_silent(0, 3)
         self.timers.advance(VERIFY_TIMEOUT_MS)
-        entry.reach.on_heard("hall-a")
+        entry.reachability.on_heard("hall-a")
         # The searchers of the sample were found down by their own connections.
         self.assertEqual(entry.down(), 2 + SAMPLE_SIZE)
 
@@ -139,7 +139,7 @@
         moved = Searcher("i-8-0", "shard-8", "10.0.0.99", 80, "hall-a", 2)
         for one in (again, moved):
             entry.fleet.put(one)
-        entry.reach.on_heard("hall-a")
+        entry.reachability.on_heard("hall-a")
         up = {one.searcher.incarnation for one in entry.of("hall-a") if not one.is_down}
         self.assertTrue({"i-8-0", "i-9-0"} <= up)
 
--- a/rhubarbhinge/gateway/tests/test_shard_delegation.py
+++ b/rhubarbhinge/gateway/tests/test_shard_delegation.py
@@ -29,7 +29,7 @@
             domain = "hall-a" if local else "hall-b"
             world.fleet.put(Searcher(f"i-{service}", service, "10.0.0.1", 80, domain, 2))
         delegation = shard_delegation(
-            "hall-a", world.around, FakeDelegates(entries), random.Random(1)
+            "hall-a", world.context, FakeDelegates(entries), random.Random(1)
         )
         self.services = services
         return delegation.shards_for(REQUEST, None, services)
--- a/rhubarbhinge/peers/tests/test_state_pull.py
+++ b/rhubarbhinge/peers/tests/test_state_pull.py
@@ -15,7 +15,7 @@
 )
 from rhubarbhinge.peers import Peers, encode_state
 from rhubarbhinge.published import ChangeLog, Snapshot
-from rhubarbhinge.quarantine import Quarantine, Quarantined, ToldSuspicion
+from rhubarbhinge.quarantine import Quarantine, Quarantined, SuspicionMessage
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.revision import Revision
 from rhubarbhinge.utils.testing import run_until, stop_tree
@@ -163,14 +163,14 @@
         self.assertEqual(self.client.pulled_ips, ["127.0.0.3"])
 
     def test_suspicions_of_a_heartbeat_are_forwarded_once(self):
-        suspicion = ToldSuspicion("f" * 32, "search", 1, False, [1, 2, 3], 5.0)
+        suspicion = SuspicionMessage("f" * 32, "search", 1, False, [1, 2, 3], 5.0)
         sent: list[tuple[str, bytes]] = []
         self.peers._datagrams.send = lambda ip, port, data: sent.append((ip, data))
         self.receive()
         self.assertEqual(decode_heartbeat(encode_heartbeat(HEARTBEAT)).suspicions, ())
         del sent[:]
         self.receive(suspicions=(suspicion,))
-        self.assertIsInstance(self.quarantine.verdict("f" * 32, "search"), Quarantined)
+        self.assertIsInstance(self.quarantine.decide("f" * 32, "search"), Quarantined)
         self.assertTrue(sent)
         self.assertEqual(decode_heartbeat(sent[0][1]).suspicions[0].marks, [1, 2, 3])
         del sent[:]
--- a/rhubarbhinge/published/_unusable_entries.py
+++ b/rhubarbhinge/published/_unusable_entries.py
@@ -1,4 +1,4 @@
-"""Published entries that can't be used, logged once for each cause."""
+"""PublishedStatus entries that can't be used, logged once for each cause."""
 
 from collections.abc import Callable, Iterable
 
