--- a/rhubarbhinge/gateway/_request_handler.py
+++ b/rhubarbhinge/gateway/_request_handler.py
@@ -80,7 +80,7 @@
         self._transit_ms = transit_ms
         self._answer_by_ms = self._deadline_ms
         self._missing: tuple[str, ...] = ()
-        self._request_log = RequestTrace(request.id, self._context.timers.now_ms)
+        self._trace = RequestTrace(request.id, self._context.timers.now_ms)
         self._timer: TimerHandle | None = None
         self._cancel: Callable[[], None] | None = None
         self._watch: RequestWatch | None = None
@@ -115,7 +115,7 @@
         if self._watch.one_first:
             terms = replace(terms, max_attempts=1, hedge_ms=None)
         call = ServiceCall(
-            context, self._request, service, terms, delays, self._on_forwarded, self._request_log
+            context, self._request, service, terms, delays, self._on_forwarded, self._trace
         )
         self._register_cancellation(call.cancel, lambda: self._on_timeout(call))
         call.start()
@@ -143,7 +143,7 @@
             delays,
             self._dependencies.delegation,
             self._on_gathered,
-            self._request_log,
+            self._trace,
         )
         self._register_cancellation(search.cancel, search.time_out)
         search.start()
@@ -261,9 +261,9 @@
 
     def _log(self, why: str, status: int, missing: int = 0) -> None:
         if why == "sampled" or not (_is_success(status) or status == CALLER_GONE):
-            self._request_log.write_log()
+            self._trace.write_log()
         elif missing:
-            self._request_log.write_log(frozenset(self._missing))
+            self._trace.write_log(frozenset(self._missing))
         log_event(
             "request-ended",
             request=self._request.id,
--- a/rhubarbhinge/gather/_scatter_gather.py
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -26,7 +26,7 @@
     :param delays: typical reply times of a single shard on this route.
     :param delegation: delegates shards to other entries.
     :param on_end: called once with the result, never from within :meth:`start`.
-    :param request_log: records the steps of the request for the log.
+    :param trace: records the decisions made for the request.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         delays: Delays,
         delegation: ShardDelegation,
         on_end: Callable[[Gathered | TooFewShards], None],
-        request_log: RequestTrace,
+        trace: RequestTrace,
     ):
         self._context = context
         self._request = request
@@ -45,10 +45,8 @@
         self._control = terms.call.control
         self._delegation = delegation
         self._on_end = on_end
-        self._request_log = request_log
-        self._calls = ShardCalls(
-            context, request, terms.call, delays, self._on_shard_end, request_log
-        )
+        self._trace = trace
+        self._calls = ShardCalls(context, request, terms.call, delays, self._on_shard_end, trace)
         self._unsent: list[str] = []
         self._signatures: dict[str, str] = {}
         self._bodies: list[bytes] = []
@@ -111,7 +109,7 @@
             self._fail(timed_out=True)
 
     def _delegate(self, address: str, services: list[str]) -> None:
-        self._request_log.note("ask-sent", ",".join(services), entry=address)
+        self._trace.note("ask-sent", ",".join(services), entry=address)
         ask = self._delegation.ask(
             address,
             self._request,
@@ -161,7 +159,7 @@
             return
         ask, services = self._delegated.pop(address)
         in_time = "none" if part is None else len(part.services)
-        self._request_log.note("ask-ended", ",".join(services), entry=address, parts=in_time)
+        self._trace.note("ask-ended", ",".join(services), entry=address, parts=in_time)
         for name in services:
             if part is None or name not in part.pending:
                 self._control.on_call_finished(name)
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -44,7 +44,7 @@
     :param terms: limits and deadlines of the call to each shard.
     :param delays: typical reply times of a single shard on this route.
     :param on_end: called with the outcome of each call, never from within :meth:`start`.
-    :param request_log: records the steps of the request for the log.
+    :param trace: records the decisions made for the request.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         terms: CallTerms,
         delays: Delays,
         on_end: Callable[[ShardOutcome], None],
-        request_log: RequestTrace,
+        trace: RequestTrace,
     ):
         self._context = context
         self._request = request
         self._terms = terms
         self._delays = delays
         self._on_end = on_end
-        self._request_log = request_log
+        self._trace = trace
         self._calls: dict[str, ServiceCall] = {}
 
     @property
@@ -97,7 +97,7 @@
                 self._terms,
                 self._delays,
                 self._on_call_end,
-                self._request_log,
+                self._trace,
                 prior_attempts.get(name, 0),
             )
             for name in services
