--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -72,7 +72,7 @@
     timer: TimerHandle
     sent_ms: float
     due_ms: float
-    answered: bool = False
+    replied: bool = False
 
 
 class DelegateCall:
@@ -255,7 +255,7 @@
             return
         call.timer.cancel()
         if isinstance(message, DelegateReply):
-            call.answered = True
+            call.replied = True
             if not message.pending:
                 del self._calls[message.number]
             call.on_reply(message)
@@ -266,7 +266,7 @@
                 self._send(call.link, AttemptGrant(message.number, granted))
         elif not isinstance(message, DelegateAccepted):
             raise FrameError("malformed", "unexpected message from a delegate")
-        if not call.answered:
+        if not call.replied:
             left_ms = call.due_ms - self._timers.now_ms()
             number = message.number
             call.timer = self._timers.after(left_ms, lambda: self._on_timeout(number, "silent"))
--- a/rhubarbhinge/gateway/_call_terms.py
+++ b/rhubarbhinge/gateway/_call_terms.py
@@ -66,25 +66,25 @@
     )
 
 
-def ask_terms(ask: DelegateRequest, delays: Delays, now_ms: float) -> CallTerms:
+def delegated_call_terms(request: DelegateRequest, delays: Delays, now_ms: float) -> CallTerms:
     """Compute the limits and deadlines of each call made on behalf of another entry.
 
-    :param ask: the request of the other entry.
+    :param request: the request of the other entry.
     :param delays: recent reply times on the route.
     :param now_ms: time at which the request arrived.
     :returns: the limits and deadlines.
     """
     return call_terms(
-        ask.route,
-        ask.target_latency_ms,
+        request.route,
+        request.target_latency_ms,
         True,
-        ask.max_attempts,
-        ask.priority,
+        request.max_attempts,
+        request.priority,
         now_ms,
-        now_ms + ask.left_ms,
+        now_ms + request.left_ms,
         delays,
-        now_ms + ask.reply_after_ms,
-        ask.top_k,
-        ask.searcher,
-        ask.searcher_started_unix_ms,
+        now_ms + request.reply_after_ms,
+        request.top_k,
+        request.searcher,
+        request.searcher_started_unix_ms,
     )
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -12,7 +12,7 @@
 from rhubarbhinge.forward import CallContext, CallTerms, ConnectionPool, Dialect
 from rhubarbhinge.gateway._address import Address
 from rhubarbhinge.gateway._answer_lead_time import AnswerLeadTime
-from rhubarbhinge.gateway._call_terms import ask_terms
+from rhubarbhinge.gateway._call_terms import delegated_call_terms
 from rhubarbhinge.gateway._connection_limit import connection_limit
 from rhubarbhinge.gateway._domain_checks import DomainChecks
 from rhubarbhinge.gateway._endpoints import metrics_handler, readiness_handler
@@ -186,10 +186,10 @@
         self._serving_state = ServingState(
             self.timers.now_ms, self._fleet, self._gateway.can_serve, self._serving_changed
         )
-        self._asks = DelegateServer(
+        self._delegate_server = DelegateServer(
             self.timers,
             context,
-            self._ask_terms,
+            self._delegated_call_terms,
             self._gateway.delays_of,
             (settings.ip, settings.ask_port),
         ).register(self)
@@ -203,7 +203,7 @@
                 "callers": lambda: self._callers.sent_bytes,
                 "searchers": lambda: self._pool.sent_bytes,
                 "asks": lambda: delegates.sent_bytes,
-                "parts": lambda: self._asks.sent_bytes,
+                "parts": lambda: self._delegate_server.sent_bytes,
                 "state": lambda: self._peers.sent_bytes,
             },
             lambda: self._settings.current.link_bits_per_ms,
@@ -220,7 +220,7 @@
             quarantine,
             event_log,
         )
-        self._shutdown = Shutdown(self.timers, self._callers, self._asks, self.stop)
+        self._shutdown = Shutdown(self.timers, self._callers, self._delegate_server, self.stop)
         self.timers.after(NO_PLAN_WAIT_MS, self._accept_callers)
         readiness = readiness_handler(
             lambda: self._settings.current.readiness_path, lambda: self.ready
@@ -254,8 +254,8 @@
         self._budget.rule = settings.retry_budget
         self._peers.membership.set_seeds(settings.seed_ips)
 
-    def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
-        return ask_terms(ask, delays, self.timers.now_ms())
+    def _delegated_call_terms(self, request: DelegateRequest, delays: Delays) -> CallTerms:
+        return delegated_call_terms(request, delays, self.timers.now_ms())
 
     def _processes(self) -> int:
         now_ms = self.timers.now_ms()
--- a/rhubarbhinge/gateway/_shard_delegation.py
+++ b/rhubarbhinge/gateway/_shard_delegation.py
@@ -61,7 +61,7 @@
         by_address.pop("", None)
         return by_address
 
-    def ask(
+    def send(
         address: str,
         request: CallerRequest,
         terms: GatherTerms,
@@ -85,10 +85,10 @@
             left_ms=max(0.0, terms.call.deadline_ms - now_ms),
         )
         return delegates.send(
-            address, message, lambda answer: on_part(_partial_result(answer)), grant
+            address, message, lambda reply: on_part(_partial_result(reply)), grant
         )
 
-    return ShardDelegation(shards_for, ask)
+    return ShardDelegation(shards_for, send)
 
 
 def _remote_domains(
@@ -128,14 +128,14 @@
     }
 
 
-def _partial_result(answer: DelegateReply | None) -> PartialResult | None:
-    if answer is None:
+def _partial_result(reply: DelegateReply | None) -> PartialResult | None:
+    if reply is None:
         return None
     return PartialResult(
-        answer.services,
-        answer.signatures,
-        answer.untried,
-        answer.pending,
-        answer.may_have_run,
-        answer.body,
+        reply.services,
+        reply.signatures,
+        reply.untried,
+        reply.pending,
+        reply.may_have_run,
+        reply.body,
     )
--- a/rhubarbhinge/gateway/_shutdown.py
+++ b/rhubarbhinge/gateway/_shutdown.py
@@ -21,7 +21,7 @@
 
     :param timers: the timer service.
     :param callers: server for callers.
-    :param asks: server for other entries.
+    :param delegate_server: serves the requests of other entries.
     :param end: ends the process.
     """
 
@@ -29,12 +29,12 @@
         self,
         timers: TimerService,
         callers: HttpServer,
-        asks: DelegateServer,
+        delegate_server: DelegateServer,
         end: Callable[[], None],
     ):
         self._timers = timers
         self._callers = callers
-        self._asks = asks
+        self._delegate_server = delegate_server
         self._end = end
         self._latest_end_ms = 0.0
         self._earliest_end_ms = 0.0
@@ -55,8 +55,8 @@
     def _poll(self) -> None:
         now_ms = self._timers.now_ms()
         late = now_ms >= self._latest_end_ms
-        open_work = self._callers.open_requests + self._asks.active_requests
-        unsent_bytes = self._callers.unsent_bytes + self._asks.unsent_bytes
+        open_work = self._callers.open_requests + self._delegate_server.active_requests
+        unsent_bytes = self._callers.unsent_bytes + self._delegate_server.unsent_bytes
         answered = open_work == 0 and unsent_bytes == 0
         if late or (answered and now_ms >= self._earliest_end_ms):
             log_event("stopped", open_requests=self._callers.open_requests, late=late)
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -33,7 +33,7 @@
     SearcherReply,
 )
 from rhubarbhinge.gateway import _shard_delegation
-from rhubarbhinge.gateway._call_terms import ask_terms, call_terms
+from rhubarbhinge.gateway._call_terms import call_terms, delegated_call_terms
 from rhubarbhinge.gateway.tests.simulated_links import (
     FaultRates,
     HostTimers,
@@ -189,10 +189,10 @@
             self.delegates = DelegateClient(
                 self.timers, StaticMembers(name), PORT, rng, reachability
             )
-            self.asks = DelegateServer(
+            self.delegate_server = DelegateServer(
                 self.timers,
                 self.context,
-                self._ask_terms,
+                self._delegated_call_terms,
                 lambda route, target_ms: self.delays,
                 (name, PORT),
             )
@@ -204,8 +204,8 @@
     def _send(self, exchange: Exchange, on_outcome: Callable[[Outcome], None]) -> SimulatedAttempt:
         return SimulatedAttempt(self.simulation.searchers, self.timers, exchange, on_outcome)
 
-    def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
-        return ask_terms(ask, delays, self.timers.now_ms())
+    def _delegated_call_terms(self, request: DelegateRequest, delays: Delays) -> CallTerms:
+        return delegated_call_terms(request, delays, self.timers.now_ms())
 
     def search(
         self, request_id: str, shards: ShardSet, max_attempts: int, on_end: Callable
--- a/rhubarbhinge/gateway/tests/test_gateway.py
+++ b/rhubarbhinge/gateway/tests/test_gateway.py
@@ -75,7 +75,9 @@
         )
         self.gateway = Gateway(dependencies)
 
-    def ask(self, path: str, wait_ms: float | None = None, transit_ms: float = 0.0) -> Responder:
+    def send_request(
+        self, path: str, wait_ms: float | None = None, transit_ms: float = 0.0
+    ) -> Responder:
         headers = {"host": "a", **({"wait": str(wait_ms)} if wait_ms else {})}
         request = Request("GET", path, {}, headers, b"", "10.0.0.1", path, (), transit_ms)
         responder = Responder(self.answers.append)
@@ -91,7 +93,7 @@
 
     def test_request_without_a_plan_is_refused_and_not_404(self):
         self.follower.plan = None
-        self.ask("/one/x")
+        self.send_request("/one/x")
         self.assertEqual(self.status(), 503)
         self.assertLess(self.retry_after(), 1.0)
 
@@ -100,7 +102,7 @@
         use_event_log(log)
         self.addCleanup(use_event_log, None)
         for _ in range(10 * SAMPLING_INTERVAL):
-            self.ask("/one/x")
+            self.send_request("/one/x")
             self.world.attempts[-1].end(replied())
         ends = [fields for name, fields in log.events if name == "request-ended"]
         self.assertTrue(1 <= len(ends) <= 30, len(ends))
@@ -108,39 +110,39 @@
         self.assertEqual(sum(name == "attempt-sent" for name, _ in log.events), len(ends))
 
     def test_unknown_route_is_404_only_while_the_plan_is_current(self):
-        self.ask("/none/")
+        self.send_request("/none/")
         self.assertEqual(self.status(), 404)
         self.answers.clear()
         self.follower.current = False
-        self.ask("/none/")
+        self.send_request("/none/")
         self.assertEqual(self.status(), 503)
 
     def test_forwarded_failure_is_logged(self):
         log = RecordingEventLog()
         use_event_log(log)
         self.addCleanup(use_event_log, None)
-        self.ask("/once/x")
+        self.send_request("/once/x")
         self.world.attempts[0].end(replied(500))
         names = [name for name, _ in log.events]
         self.assertEqual(names, ["attempt-sent", "attempt-ended", "request-ended"])
         self.assertEqual(log.events[-1][1]["status"], 500)
         log.events.clear()
-        self.ask("/once/x")
+        self.send_request("/once/x")
         self.world.attempts[-1].end(replied())
         self.assertEqual(log.events, [])
 
     def test_sends_refusals_and_latencies_are_counted(self):
-        self.ask("/one/x")
+        self.send_request("/one/x")
         self.world.timers.advance(50.0)
         self.world.attempts[1].end(replied())
-        self.ask("/once/x")
+        self.send_request("/once/x")
         self.world.attempts[2].end(Lost(FailureReason.BROKEN))
         text = self.metrics.render().decode()
         for part in ('kind="base"', 'kind="hedge"', 'code="broken"', 'class="one"'):
             self.assertIn(part, text)
 
     def test_reply_is_forwarded(self):
-        self.ask("/one/x")
+        self.send_request("/one/x")
         self.world.attempts[0].end(replied(body=b"whole"))
         self.assertEqual((self.status(), self.answers[0].body), (200, b"whole"))
 
@@ -148,12 +150,12 @@
         for status in (503, 429, 408, 421):
             self.answers.clear()
             self.world.attempts.clear()
-            self.ask("/once/x")
+            self.send_request("/once/x")
             self.world.attempts[0].end(replied(status))
             self.assertEqual(self.status(), 502)
 
     def test_request_refused_by_all_searchers_gets_retry_after(self):
-        self.ask("/once/x")
+        self.send_request("/once/x")
         for _ in range(4):
             self.world.attempts[-1].end(NotRun(FailureReason.NO_ROOM))
             self.world.timers.advance(25.0)
@@ -161,12 +163,12 @@
         self.assertGreater(self.retry_after(), 0.0)
 
     def test_request_that_may_have_run_is_not_refused(self):
-        self.ask("/once/x")
+        self.send_request("/once/x")
         self.world.attempts[0].end(Lost(FailureReason.BROKEN))
         self.assertEqual(self.status(), 502)
 
     def test_route_timeout_cancels_the_attempt(self):
-        self.ask("/once/x")
+        self.send_request("/once/x")
         self.world.timers.advance(499.0)
         self.assertEqual(self.answers, [])
         self.world.timers.advance(2.0)
@@ -174,40 +176,40 @@
         self.assertTrue(self.world.attempts[0].cancelled)
 
     def test_shorter_caller_deadline_applies(self):
-        self.ask("/one/x", wait_ms=100.0)
+        self.send_request("/one/x", wait_ms=100.0)
         self.world.timers.advance(99.0)
         self.assertEqual(self.status(), 504)
 
     def test_unsent_request_is_refused_at_its_deadline(self):
         self.world.unsent_next = True
-        self.ask("/once/x")
+        self.send_request("/once/x")
         self.world.timers.advance(501.0)
         self.assertEqual(self.status(), 503)
 
     def test_unsent_search_is_refused_at_its_deadline(self):
         # Half of the searchers are down and the others busy, so it only waited for connections.
         self.world.on_send = lambda: setattr(self.world, "unsent_next", True)
-        self.ask("/all/x")
+        self.send_request("/all/x")
         self.world.timers.advance(600.0)
         self.assertEqual(self.status(), 503)
         self.assertGreater(self.retry_after(), 0.0)
 
     def test_search_that_may_have_run_times_out_at_its_deadline(self):
-        self.ask("/all/x")
+        self.send_request("/all/x")
         self.world.timers.advance(600.0)
         self.assertEqual(self.status(), 504)
 
     def test_disconnected_caller_cancels_attempts(self):
         for path in ("/one/x", "/all/x"):
             self.world.attempts.clear()
-            responder = self.ask(path)
+            responder = self.send_request(path)
             responder.abandon()
             self.assertTrue(all(attempt.cancelled for attempt in self.world.attempts))
             self.world.timers.advance(1_000.0)
         self.assertEqual(self.answers, [])
 
     def test_partial_search_is_answered_before_the_objective(self):
-        self.ask("/all/x")
+        self.send_request("/all/x")
         for attempt in self.world.attempts[:3]:
             attempt.end(replied(signature=attempt.service))
         self.world.timers.advance(95.0)
@@ -217,7 +219,7 @@
     def test_search_with_too_few_reachable_shards_is_refused_at_once(self):
         for name in ("s0-1", "s0-2", "s1-1", "s1-2"):
             self.world.observed(name).on_unreachable()
-        self.ask("/all/x")
+        self.send_request("/all/x")
         self.world.timers.advance(0.0)
         self.assertEqual((self.status(), self.world.attempts), (503, []))
 
@@ -225,7 +227,7 @@
         for name in ("s0-1", "s0-2", "s1-1", "s1-2"):
             self.world.observed(name).on_unreachable()
         self.balancer_delay_ms = 1_500.0
-        self.ask("/all/x")
+        self.send_request("/all/x")
         self.world.timers.advance(0.0)
         self.assertEqual(self.status(), 503)
         self.assertGreater(self.retry_after(), 1.0)
@@ -233,16 +235,16 @@
     def test_entry_with_too_few_reachable_searchers_cannot_serve(self):
         self.assertTrue(self.gateway.can_serve())
         for _ in range(3):
-            self.ask("/all/x")
+            self.send_request("/all/x")
         for name in ("s0-1", "s0-2", "s1-1", "s1-2"):
             self.world.observed(name).on_unreachable()
         self.assertFalse(self.gateway.can_serve())
         for _ in range(5):
-            self.ask("/one/x")
+            self.send_request("/one/x")
         self.assertTrue(self.gateway.can_serve())
 
     def test_transit_time_of_the_caller_is_deducted(self):
-        self.ask("/all/x", transit_ms=30.0)
+        self.send_request("/all/x", transit_ms=30.0)
         for attempt in list(self.world.attempts)[:3]:
             attempt.end(replied(signature=attempt.service))
         self.world.timers.advance(60.0)
@@ -255,15 +257,15 @@
             for observed in list(self.world.fleet.of_service(name)):
                 self.world.fleet.remove(observed.searcher.incarnation)
         for _ in range(3):
-            self.ask("/all/x")
+            self.send_request("/all/x")
         self.assertTrue(self.gateway.can_serve())
-        self.ask("/one/x")
+        self.send_request("/one/x")
         for observed in self.world.fleet.of_service("one"):
             observed.on_unreachable()
         self.assertFalse(self.gateway.can_serve())
 
     def test_request_keeps_the_plan_under_which_it_was_accepted(self):
-        self.ask("/all/x")
+        self.send_request("/all/x")
         newer = Route("all", "a", "/all/", True, 500.0, 100.0, 1, 2, (), ShardSet(("t0",), 2, 1.0))
         self.follower.plan = ServingPlan(2, (newer,), {}, CallerLimits())
         self.gateway.on_plan(self.follower.plan)
--- a/rhubarbhinge/gateway/tests/test_shard_delegation.py
+++ b/rhubarbhinge/gateway/tests/test_shard_delegation.py
@@ -35,10 +35,10 @@
         return delegation.shards_for(REQUEST, None, services)
 
     def assert_split(self, assigned: dict, addresses: set[str], kept_count: int) -> None:
-        asked = [service for services in assigned.values() for service in services]
+        delegated = [service for services in assigned.values() for service in services]
         self.assertEqual(set(assigned), addresses)
-        self.assertEqual(len(asked), len(set(asked)))
-        self.assertEqual(len(self.services) - len(asked), kept_count)
+        self.assertEqual(len(delegated), len(set(delegated)))
+        self.assertEqual(len(self.services) - len(delegated), kept_count)
         sizes = {len(services) for services in assigned.values()}
         self.assertLessEqual(max(sizes) - min(sizes), 1)
 
--- a/rhubarbhinge/gather/_scatter_gather.py
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -95,9 +95,9 @@
             self._timer.cancel()
         self._may_have_run = self._may_have_run or self._calls.may_have_run or bool(self._delegated)
         self._calls.cancel()
-        asks, self._delegated = self._delegated, {}
-        for ask, _ in asks.values():
-            ask.cancel()
+        searches, self._delegated = self._delegated, {}
+        for search, _ in searches.values():
+            search.cancel()
 
     def time_out(self) -> None:
         """Finish at the deadline with the replies received so far."""
@@ -110,7 +110,7 @@
 
     def _delegate(self, address: str, services: list[str]) -> None:
         self._trace.note("ask-sent", ",".join(services), entry=address)
-        ask = self._delegation.ask(
+        search = self._delegation.send(
             address,
             self._request,
             self._terms,
@@ -118,7 +118,7 @@
             lambda part: self._on_partial_result(address, part),
             lambda wanted, report: self._grant_attempts(address, wanted, report),
         )
-        self._delegated[address] = (ask, services)
+        self._delegated[address] = (search, services)
         self._delegated_attempts.update(services)
 
     def _grant_attempts(
@@ -150,14 +150,14 @@
         return True
 
     def _on_attempt_available(self, address: str, service: str) -> None:
-        ask, services = self._delegated.get(address, (None, ()))
+        search, services = self._delegated.get(address, (None, ()))
         if service in services and self._claim_attempt(address, service):
-            ask.grant((service,))
+            search.grant((service,))
 
     def _on_partial_result(self, address: str, part: PartialResult | None) -> None:
         if self._finished:
             return
-        ask, services = self._delegated.pop(address)
+        search, services = self._delegated.pop(address)
         in_time = "none" if part is None else len(part.services)
         self._trace.note("ask-ended", ",".join(services), entry=address, parts=in_time)
         for name in services:
@@ -165,12 +165,12 @@
                 self._control.on_call_finished(name)
         if part is None or not _is_valid(part, services):
             # The records of unexpected shards cannot be separated from the rest of the part.
-            ask.cancel()
+            search.cancel()
             self._may_have_run = True
             self._calls.start(services, prior_attempts=self._delegated_attempts)
         else:
             if part.pending:
-                self._delegated[address] = (ask, list(part.pending))
+                self._delegated[address] = (search, list(part.pending))
             self._merge_part(part)
         self._finish_if_possible()
 
@@ -214,8 +214,8 @@
             self._answer()
 
     def _open_shards(self) -> int:
-        asked = sum(len(services) for _, services in self._delegated.values())
-        return self._calls.open + asked + len(self._unsent)
+        delegated = sum(len(services) for _, services in self._delegated.values())
+        return self._calls.open + delegated + len(self._unsent)
 
     def _on_answer_due(self) -> None:
         self._past_due = True
--- a/rhubarbhinge/gather/_shard_delegation.py
+++ b/rhubarbhinge/gather/_shard_delegation.py
@@ -73,15 +73,16 @@
 DelegateShards = Callable[
     [str, CallerRequest, GatherTerms, list[str], OnPartialResult, GrantAttempts], DelegatedSearch
 ]
-"""Asks the entry at an address to search shards, with one attempt each until more are granted."""
+"""Sends a request to search shards to the entry at an address, with one attempt each until more are
+granted."""
 
 
 class ShardDelegation(Struct, frozen=True):
-    """DelegateClient shards to other entries.
+    """Delegates shards to other entries.
 
     :param shards_for: selects which shards to delegate to which entry.
-    :param ask: asks an entry to search shards.
+    :param send: sends a request to search shards to an entry.
     """
 
     shards_for: AssignShards
-    ask: DelegateShards
+    send: DelegateShards
--- a/rhubarbhinge/gather/tests/scatter_gather_case.py
+++ b/rhubarbhinge/gather/tests/scatter_gather_case.py
@@ -31,10 +31,10 @@
         self.granted: list[str] = []
         self.cancelled = 0
         self.delegation = ShardDelegation(
-            lambda request, terms, served: self._by_address, self._ask
+            lambda request, terms, served: self._by_address, self._send
         )
 
-    def _ask(self, address, request, terms, services, on_part, grant):
+    def _send(self, address, request, terms, services, on_part, grant):
         self.on_part[address] = on_part
         self.report_attempts[address] = grant
         self.grant_attempts[address] = lambda services: grant(services, AttemptReport())
--- a/rhubarbhinge/gather/tests/test_ended_searchers.py
+++ b/rhubarbhinge/gather/tests/test_ended_searchers.py
@@ -130,18 +130,18 @@
         self.assertEqual({one.service for one in self.world.attempts}, set(SHARDS))
 
     def test_shards_lost_during_a_one_first_search_are_skipped(self):
-        asked = []
+        delegated = []
         self.start(one_first=True)
         shards_for = self.delegated.delegation.shards_for
 
         def recording(request, terms, served):
-            asked.extend(served)
+            delegated.extend(served)
             return shards_for(request, terms, served)
 
-        self.search._delegation = ShardDelegation(recording, self.delegated.delegation.ask)
+        self.search._delegation = ShardDelegation(recording, self.delegated.delegation.send)
         for name in ("s3-1", "s3-2"):
             self.world.observed(name).on_unreachable()
         self.answer("s0")
-        self.assertEqual(asked, ["s1", "s2"])
+        self.assertEqual(delegated, ["s1", "s2"])
         self.answer("s1", "s2")
         self.assertEqual(self.ends[0].missing, ("s3",))
--- a/rhubarbhinge/peers/tests/test_state_transfer_size.py
+++ b/rhubarbhinge/peers/tests/test_state_transfer_size.py
@@ -3,7 +3,7 @@
 Guards against a reader that saturates its link by sending the full state to each follower. In an
 incident with 59 VMs, the reader of a failure domain sent a changed serving plan in full to each of
 eleven nodes, 590 KB in total, which filled its link of 8.4 Mbit/s for half a second. Its searches
-were delayed by 346 ms, its delegated requests (asks) were given up as not taken, and six searches
+were delayed by 346 ms, its delegated requests were given up as not taken, and six searches
 went to more searchers than allowed. After each new plan and each change of readers, readers sent
 ten times as much in a second as other VMs.
 """
