--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -260,8 +260,8 @@
                 del self._calls[message.number]
             call.on_reply(message)
         elif isinstance(message, AttemptRequest):
-            news = AttemptReport(message.ended, message.replied)
-            granted = call.grant(message.services, news)
+            report = AttemptReport(message.ended, message.replied)
+            granted = call.grant(message.services, report)
             if granted:
                 self._send(call.link, AttemptGrant(message.number, granted))
         elif not isinstance(message, DelegateAccepted):
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -147,14 +147,14 @@
         typical_ms = self._exchange.delays.quantile(0.5)
         self._exchange.searcher.on_cancelled(self._number, waited_ms, typical_ms, now_ms)
 
-    def deny_attempts(self, services: tuple[str, ...], news: AttemptReport) -> tuple[str, ...]:
+    def deny_attempts(self, services: tuple[str, ...], report: AttemptReport) -> tuple[str, ...]:
         """Grant no further attempts, as this object stands for a single one.
 
         :param services: shards for which the delegate asks for an attempt.
-        :param news: progress of its attempt.
+        :param report: progress of its attempt.
         :returns: no shards.
         """
-        self._searcher_exited = self._searcher_exited or bool(news.ended)
+        self._searcher_exited = self._searcher_exited or bool(report.ended)
         return ()
 
     def on_reply(self, reply: DelegateReply | None) -> None:
--- a/rhubarbhinge/delegation/_server.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -107,8 +107,8 @@
                 self._terms_of(message, delays),
                 delays,
                 lambda reply: self._send_reply(link, state, reply),
-                lambda services, news: self._send(
-                    link, AttemptRequest(message.number, services, news.ended, news.replied)
+                lambda services, report: self._send(
+                    link, AttemptRequest(message.number, services, report.ended, report.replied)
                 ),
             )
             state.searches[message.number] = search
--- a/rhubarbhinge/delegation/tests/test_client_server.py
+++ b/rhubarbhinge/delegation/tests/test_client_server.py
@@ -68,7 +68,7 @@
             self.timers, self.membership, port, random.Random(1), reachability
         ).register(self.root)
 
-    def grant(self, services: tuple[str, ...], news: AttemptReport) -> tuple[str, ...]:
+    def grant(self, services: tuple[str, ...], report: AttemptReport) -> tuple[str, ...]:
         return self.grant_policy(services)
 
     def wait(self, condition) -> None:
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -127,11 +127,11 @@
         rng = random.Random(simulation.rng.getrandbits(32))
         self.quarantine = Quarantine(
             self.timers.now_ms,
-            lambda fingerprint: self.news.may_try(fingerprint),
-            lambda: self.news.announce(),
+            lambda fingerprint: self.quarantine_gossip.may_try(fingerprint),
+            lambda: self.quarantine_gossip.announce(),
             rng,
         )
-        self.news = QuarantineGossip(
+        self.quarantine_gossip = QuarantineGossip(
             self.timers, GossipMembers(simulation, name), self.quarantine, rng
         )
         self.timers.after(simulation.rng.uniform(0.0, HEARTBEAT_MS), self._send_heartbeat)
@@ -217,12 +217,12 @@
         """Send the findings of one entry to another, as a heartbeat does."""
         if self.rng.random() < self.datagram_loss:
             return
-        findings = self.entries[sender].news.outgoing()
+        findings = self.entries[sender].quarantine_gossip.outgoing()
         delay_ms = self.rng.choice((0.5, 2.0, 2.0, 30.0))
 
         def arrive() -> None:
             other = self.entries[receiver]
-            other.timers.after(0.0, lambda: other.news.receive(findings))
+            other.timers.after(0.0, lambda: other.quarantine_gossip.receive(findings))
 
         self.timers.after(delay_ms, arrive)
 
