--- a/rhubarbhinge/peers/__init__.py
+++ b/rhubarbhinge/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Communication with other nodes: heartbeats and exchange of the published state."""
+"""Communication with other entries: heartbeats and exchange of the published state."""
 
 from rhubarbhinge.peers._known_state import KnownState
 from rhubarbhinge.peers._peers import Peers
--- a/rhubarbhinge/peers/_known_state.py
+++ b/rhubarbhinge/peers/_known_state.py
@@ -1,4 +1,4 @@
-"""The state that a node already has, so that peers need to send only what it lacks."""
+"""The state that an entry already has, so that peers need to send only what it lacks."""
 
 from msgspec import Struct
 
@@ -14,7 +14,7 @@
 
 
 class KnownState(Struct, frozen=True):
-    """The part of the published state that a node has.
+    """The part of the published state that an entry has.
 
     :param plan: its serving plan; None when it has none.
     :param searchers: its searchers.
--- a/rhubarbhinge/peers/_paths.py
+++ b/rhubarbhinge/peers/_paths.py
@@ -1,16 +1,16 @@
-"""HTTP paths for calls between nodes."""
+"""HTTP paths for calls between entries."""
 
 from collections.abc import Iterable
 
 STATE_PATH = "/v1/published-state"
-"""Path that returns the published state as a node knows it."""
+"""Path that returns the published state as an entry knows it."""
 CHANGES_PATH = "/v1/published-changes"
-"""Path of long polls, at a node that reads the platform, for changes of the published state."""
+"""Path of long polls, at an entry that reads the platform, for changes of the published state."""
 CHANGES_WAIT_MS = 1_500.0
 """Duration of a long poll for changes; short, so that a failed reader is noticed well within the
 seconds in which a change has to take effect."""
 MEMBERS_PATH = "/v1/members"
-"""Path that returns a node's list of members."""
+"""Path that returns an entry's list of members."""
 
 
 def with_query(path: str, parameters: Iterable[str]) -> str:
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -1,4 +1,4 @@
-"""Communication with the other nodes."""
+"""Communication with the other entries."""
 
 import random
 from collections.abc import Callable
@@ -35,25 +35,25 @@
 LOG_INTERVAL_MS = 1_000.0
 """Interval at which peers that appeared or were lost are logged."""
 MAX_SINGLE_EVENTS = 5
-"""More nodes that appear or are lost within a second share a log line. A fleet of 60 that starts
-would write 60 lines at each node, half of the last 33 KB that a log collector may keep."""
+"""More entries that appear or are lost within a second share a log line. A fleet of 60 that starts
+would write 60 lines at each entry, half of the last 33 KB that a log collector may keep."""
 START_ID_BITS = 32
-"""Bits of the random number that distinguishes the starts of a node."""
+"""Bits of the random number that distinguishes the starts of an entry."""
 
 
 class Peers(Component):
-    """Communicates with the other nodes, over one UDP and one TCP port.
+    """Communicates with the other entries, over one UDP and one TCP port.
 
     :param timers: the timer service.
     :param client: calls peers.
     :param follower: follows the published state.
     :param name: name of this VM.
     :param ip: its IP address.
-    :param port: UDP and TCP port of all nodes.
+    :param port: UDP and TCP port of all entries.
     :param failure_domain: its failure domain.
     :param seed_ips: addresses of some other VMs.
     :param rng: adds jitter to heartbeats, and chooses peers.
-    :param reads_platform: returns whether this node successfully reads the platform itself.
+    :param reads_platform: returns whether this entry successfully reads the platform itself.
     :param quarantine: suspicions about requests that crash searchers, sent with heartbeats.
     :raises OSError: when the port can not be bound.
     :ivar membership: the members of the fleet.
@@ -102,7 +102,7 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of published state and member lists sent to other nodes since the start."""
+        """Bytes of published state and member lists sent to other entries since the start."""
         return self._server.sent_bytes
 
     def announce_plan(self) -> None:
@@ -110,7 +110,7 @@
         self._timers.after(0, self.membership.send_heartbeats)
 
     def leave(self) -> None:
-        """Announce that this node is stopping."""
+        """Announce that this entry is stopping."""
         self._service.leaving = True
         self.membership.leave()
 
--- a/rhubarbhinge/peers/_published_status.py
+++ b/rhubarbhinge/peers/_published_status.py
@@ -5,7 +5,7 @@
 
 
 def published_status(follower: Follower) -> PublishedStatus:
-    """Summarize the published state of this node.
+    """Summarize the published state of this entry.
 
     :param follower: follows the published state.
     :returns: the summary that heartbeats carry.
--- a/rhubarbhinge/peers/_quarantine_gossip.py
+++ b/rhubarbhinge/peers/_quarantine_gossip.py
@@ -1,4 +1,4 @@
-"""Exchange of suspicions about requests that crash searchers with the other nodes."""
+"""Exchange of suspicions about requests that crash searchers with the other entries."""
 
 import random
 from collections.abc import Iterable
@@ -9,26 +9,26 @@
 from rhubarbhinge.utils import rendezvous
 
 LOCAL_FANOUT = 8
-"""Nodes of the same failure domain that get a new suspicion at once from each node that learns it.
-With 40 nodes in a domain, a share of e**-8 of them, one in 3,000, misses the first round."""
+"""Entries of the same failure domain that get a new suspicion at once from each entry that learns
+it. With 40 entries in a domain, a share of e**-8 of them, one in 3,000, misses the first round."""
 REMOTE_FANOUT = 2
-"""Nodes of each other domain that get a new suspicion at once from each node that learns it."""
+"""Entries of each other domain that get a new suspicion at once from each entry that learns it."""
 MIN_INTERVAL_MS = 100.0
 """Shortest interval between two rounds. A round takes 20 datagrams of 300 bytes, 6 KB in the rare
 second that has one."""
 
 
 class QuarantineGossip:
-    """Spreads suspicions about requests that crash searchers among the nodes.
+    """Spreads suspicions about requests that crash searchers among the entries.
 
-    The caller of such a request retries within some milliseconds, at any node. New suspicions are
-    therefore sent at once and forwarded by each node that learns them, which takes two hops of 1 to
-    2 ms. Nodes that start, or were suspended or cut off, learn them from heartbeats, which carry
-    them as long as they hold.
+    The caller of such a request retries within some milliseconds, at any entry. New suspicions are
+    therefore sent at once and forwarded by each entry that learns them, which takes two hops of 1
+    to 2 ms. Entries that start, or were suspended or cut off, learn them from heartbeats, which
+    carry them as long as they hold.
 
     :param timers: the timer service.
     :param membership: the members of the fleet; sends heartbeats.
-    :param quarantine: the suspicions of this node.
+    :param quarantine: the suspicions of this entry.
     :param rng: chooses the receivers.
     """
 
@@ -78,10 +78,10 @@
             self.announce()
 
     def may_try(self, fingerprint: str) -> bool:
-        """Check whether this node is the one that tries a suspected request again.
+        """Check whether this entry is the one that tries a suspected request again.
 
-        All nodes that know the same members agree on it without communication (rendezvous hashing);
-        each side of a network partition has one.
+        All entries that know the same members agree on it without communication (rendezvous
+        hashing); each side of a network partition has one.
 
         :param fingerprint: the request.
         :returns: whether it is.
--- a/rhubarbhinge/peers/_reports.py
+++ b/rhubarbhinge/peers/_reports.py
@@ -1,4 +1,4 @@
-"""Latest reports of other nodes on the published state."""
+"""Latest reports of other entries on the published state."""
 
 from msgspec import Struct
 
@@ -6,13 +6,13 @@
 from rhubarbhinge.utils.revision import Revision
 
 MAX_REPORT_AGE_MS = 3_500.0
-"""Age up to which a report is used; three heartbeats of a node that sends one each second."""
+"""Age up to which a report is used; three heartbeats of an entry that sends one each second."""
 
 
 class PeerReport(Struct, frozen=True):
-    """A node's report on the published state that it knows.
+    """An entry's report on the published state that it knows.
 
-    :param member: the node.
+    :param member: the entry.
     :param revision: its revision.
     :param age_ms: time since that was confirmed; -1 if it never was.
     :param received_ms: when the report was received.
@@ -26,12 +26,12 @@
     plan_version: int = 0
 
     def is_ahead_of(self, known: PublishedStatus) -> bool:
-        """Check whether the node's state holds something that this node lacks.
+        """Check whether the entry's state holds something that this entry lacks.
 
-        The serving plan counts by itself, as the platform may have lost a version that some nodes
+        The serving plan counts by itself, as the platform may have lost a version that some entries
         have. An unconfirmed state adds nothing to a confirmed one.
 
-        :param known: the state of this node.
+        :param known: the state of this entry.
         :returns: whether it does.
         """
         is_newer = self.revision > known.revision or self.plan_version > known.plan_version
@@ -39,7 +39,7 @@
 
 
 class PeerReports:
-    """The latest report of each other node on the published state."""
+    """The latest report of each other entry on the published state."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, PeerReport] = {}
@@ -52,9 +52,9 @@
         self._by_name[report.member.name] = report
 
     def get(self, name: str, now_ms: float) -> PeerReport | None:
-        """Return the report of a node.
+        """Return the report of an entry.
 
-        :param name: the node's name.
+        :param name: the entry's name.
         :param now_ms: the current time.
         :returns: the report, or None if there is no recent one.
         """
@@ -62,9 +62,9 @@
         return None if report is None or now_ms - report.received_ms > MAX_REPORT_AGE_MS else report
 
     def equal_to(self, known: PublishedStatus, now_ms: float) -> list[PeerReport]:
-        """Return the reports of nodes with a confirmed state of the same revision.
+        """Return the reports of entries with a confirmed state of the same revision.
 
-        :param known: the state of this node.
+        :param known: the state of this entry.
         :param now_ms: the current time.
         :returns: recent reports of the same revision.
         """
@@ -77,9 +77,9 @@
         ]
 
     def ahead_of(self, known: PublishedStatus, now_ms: float) -> list[PeerReport]:
-        """Return the reports of nodes whose state is ahead, and discard outdated reports.
+        """Return the reports of entries whose state is ahead, and discard outdated reports.
 
-        :param known: the state of this node.
+        :param known: the state of this entry.
         :param now_ms: the current time.
         :returns: recent reports of states that are ahead.
         """
--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -21,47 +21,48 @@
 READER_RETRY_MS = 3_000.0
 """Time for which a failed reader is not asked; by then its heartbeats show whether it is alive."""
 MAX_READER_AGE_MS = 6_000.0
-"""A node whose own state was not confirmed for longer than this is not used as reader."""
+"""An entry whose own state was not confirmed for longer than this is not used as reader."""
 MIN_KNOWN_MS = 3_000.0
-"""A node without a direct report is used as reader once it has been known for this time; one that
+"""An entry without a direct report is used as reader once it has been known for this time; one that
 has just started would send its followers to the platform."""
 
 DISCOVERY_MS = 400.0
-"""Time after its start in which a node learns of most others of its domain, even when all start
-within 300 ms of each other. The node with the lowest name then reads the platform."""
+"""Time after its start in which an entry learns of most others of its domain, even when all start
+within 300 ms of each other. The entry with the lowest name then reads the platform."""
 JOIN_MS = 3_000.0
-"""Time for which a starting node looks for the reader before it waits for changes at the platform.
-When a large fleet starts as a whole, some nodes learn late of the lowest name of their domain. A
-node that stays behind a peer pulls that peer's state meanwhile."""
+"""Time for which a starting entry looks for the reader before it waits for changes at the platform.
+When a large fleet starts as a whole, some entries learn late of the lowest name of their domain. An
+entry that stays behind a peer pulls that peer's state meanwhile."""
 JOIN_POLL_MS = 50.0
-"""Interval at which a starting node looks for the reader."""
+"""Interval at which a starting entry looks for the reader."""
 JOIN_RETRY_MS = 250.0
-"""Delay before the next request when the node that was asked does not read the platform yet. It may
-be about to; it is asked again, or a node with a lower name that was discovered meanwhile."""
+"""Delay before the next request when the entry that was asked does not read the platform yet. It
+may be about to; it is asked again, or an entry with a lower name that was discovered meanwhile."""
 CUT_GRACE_MS = 1_000.0
-"""Time for which a node whose watch was cut still counts as reader, so that its followers keep
-waiting at it. Otherwise each cut watch would send all nodes of the domain to the platform at
+"""Time for which an entry whose watch was cut still counts as reader, so that its followers keep
+waiting at it. Otherwise each cut watch would send all entries of the domain to the platform at
 once."""
 
 STALE_LIST = ReadFailure("old-list", history_lost=True)
 """Reported when everything has to be listed again because the first list may have been stale."""
 
 RESYNC = ReadFailure("settled", history_lost=True)
-"""Reported when everything has to be listed again because this node reads the platform and needs
+"""Reported when everything has to be listed again because this entry reads the platform and needs
 the full state."""
 ERA_CHANGED = "era-changed"
-"""Code for a reader's response that is not used because another node reported a later era since."""
+"""Code for a reader's response that is not used because another entry reported a later era
+since."""
 
 OnOutcome = Callable[[Changes | Snapshot | ReadFailure], None]
 
 
 class _LogPosition(Struct, frozen=True):
-    """Position in the change log of a reader up to which this node has the changes.
+    """Position in the change log of a reader up to which this entry has the changes.
 
     :param log_id: id of the log.
     :param position: the position.
     :param era: era of the state at that position. Once a later era is known from elsewhere, the log
-        no longer covers what this node lacks, as its state may differ from the reader's.
+        no longer covers what this entry lacks, as its state may differ from the reader's.
     """
 
     log_id: str
@@ -70,24 +71,24 @@
 
 
 class SharedSource:
-    """Reads the platform at one node of each failure domain; the other nodes ask that one.
+    """Reads the platform at one entry of each failure domain; the other entries ask that one.
 
-    The reader is the live node with the lowest name, which all nodes determine independently.
-    Correctness does not depend on their agreement: a node that is asked and does not read the
-    platform says so, and a node that gets no response asks the platform itself.
+    The reader is the live entry with the lowest name, which all entries determine independently.
+    Correctness does not depend on their agreement: an entry that is asked and does not read the
+    platform says so, and an entry that gets no response asks the platform itself.
 
-    A starting node reads a list that may be some seconds stale, which costs the platform a tenth of
-    a fresh one, and then waits for changes at the reader. A start thus costs one cheap call, even
-    when all nodes start at once.
+    A starting entry reads a list that may be some seconds stale, which costs the platform a tenth
+    of a fresh one, and then waits for changes at the reader. A start thus costs one cheap call,
+    even when all entries start at once.
 
     :param timers: the timer service.
     :param client: calls peers.
     :param store: reads the platform.
     :param name: name of this VM.
     :param failure_domain: its failure domain.
-    :param port: port of all nodes.
+    :param port: port of all entries.
     :ivar platform_calls: reads and watches of the platform since the start.
-    :ivar reader_calls: long polls at another node since the start.
+    :ivar reader_calls: long polls at another entry since the start.
     """
 
     def __init__(
@@ -122,7 +123,7 @@
 
     @property
     def reads_platform(self) -> bool:
-        """Whether this node reads the platform itself, with success except for brief failures."""
+        """Whether this entry reads the platform itself, with success except for brief failures."""
         return self._is_reading and self._timers.now_ms() < self._reads_until_ms
 
     def set_peers(
@@ -135,7 +136,7 @@
 
         :param membership: the members of the fleet.
         :param reports: their latest reports on the published state.
-        :param known: returns the state of this node, which a reader need not send.
+        :param known: returns the state of this entry, which a reader need not send.
         """
         self._membership = membership
         self._reports = reports
@@ -177,7 +178,8 @@
             self._timers.after(JOIN_POLL_MS, lambda: self.wait_for_changes(after_revision, on_done))
             return
         if reader is None and self._is_list_stale:
-            # A node that reads for others needs the latest state, from which changes are reported.
+            # An entry that reads for others needs the latest state, from which changes are
+            # reported.
             self._timers.after(0, lambda: on_done(STALE_LIST))
             return
         if reader is None and self._is_full_state_requested:
@@ -236,7 +238,7 @@
         return inf if self._started_ms is None else self._timers.now_ms() - self._started_ms
 
     def _is_joining(self) -> bool:
-        """Check whether this node has just started and may still discover a reader."""
+        """Check whether this entry has just started and may still discover a reader."""
         uptime_ms = self._uptime_ms()
         if self._membership is None or uptime_ms >= JOIN_MS:
             return False
@@ -245,7 +247,7 @@
         return uptime_ms < DISCOVERY_MS or not is_lowest
 
     def _choose_reader(self) -> Member | None:
-        """Choose the reader; None when this node has to read the platform itself."""
+        """Choose the reader; None when this entry has to read the platform itself."""
         if self._membership is None:
             return None
         now_ms = self._timers.now_ms()
@@ -259,8 +261,8 @@
     def _may_be_reader(self, member: Member, now_ms: float) -> bool:
         report = self._reports.get(member.name, now_ms)
         if self._uptime_ms() < JOIN_MS:
-            # When a fleet starts as a whole, no node has been known for long, and the one with the
-            # lowest name reads. A node that does not read says so at once.
+            # When a fleet starts as a whole, no entry has been known for long, and the one with the
+            # lowest name reads. An entry that does not read says so at once.
             return self._uptime_ms() >= DISCOVERY_MS or (report is not None and report.age_ms >= 0)
         if report is None:
             return self._membership.present_for_ms(member.name) >= MIN_KNOWN_MS
--- a/rhubarbhinge/peers/_state_codec.py
+++ b/rhubarbhinge/peers/_state_codec.py
@@ -1,4 +1,4 @@
-"""Encoding of the published state for transfer between nodes."""
+"""Encoding of the published state for transfer between entries."""
 
 from typing import Any
 
@@ -176,7 +176,7 @@
     if encoded.plan_change is not None:
         if base is None:
             raise ValueError(
-                "the serving plan is encoded relative to one that this node does not have"
+                "the serving plan is encoded relative to one that this entry does not have"
             )
         return _decode_plan_change(encoded.plan_change).apply(base)
     if encoded.plan is None:
--- a/rhubarbhinge/peers/_state_pull.py
+++ b/rhubarbhinge/peers/_state_pull.py
@@ -1,4 +1,4 @@
-"""Pulls published state from nodes that are ahead."""
+"""Pulls published state from entries that are ahead."""
 
 import random
 
@@ -13,24 +13,24 @@
 from rhubarbhinge.web import Failure, HttpClient, Reply
 
 MAX_LAG_MS = 600.0
-"""A node that is behind a peer for this time, two pauses between watches, evidently no longer gets
-updates, although its call to the platform or to its reader may still be open."""
+"""An entry that is behind a peer for this time, two pauses between watches, evidently no longer
+gets updates, although its call to the platform or to its reader may still be open."""
 PULL_TIMEOUT_MS = 500.0
 """Timeout for a peer's state, which usually takes some milliseconds."""
 
 
 class StatePull:
-    """Pulls published state from a node that is ahead.
+    """Pulls published state from an entry that is ahead.
 
-    It pulls at once while reads of the platform fail, and otherwise when this node stays behind. A
-    node of the same failure domain is preferred.
+    It pulls at once while reads of the platform fail, and otherwise when this entry stays behind.
+    An entry of the same failure domain is preferred.
 
     :param timers: the timer service.
     :param client: calls peers.
     :param follower: follows the published state.
     :param reports: the peers' latest reports on the published state.
-    :param port: port of all nodes.
-    :param failure_domain: failure domain of this node.
+    :param port: port of all entries.
+    :param failure_domain: failure domain of this entry.
     :param rng: chooses among the peers.
     """
 
--- a/rhubarbhinge/peers/_state_service.py
+++ b/rhubarbhinge/peers/_state_service.py
@@ -1,4 +1,4 @@
-"""HTTP service for other nodes: published state, its changes, and the list of members."""
+"""HTTP service for other entries: published state, its changes, and the list of members."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 class _RequesterState(Struct, frozen=True):
-    """The state that the requesting node already has.
+    """The state that the requesting entry already has.
 
     :param log_id: id of the log that it follows; empty for none.
     :param position: position in that log up to which it has the changes.
@@ -40,13 +40,13 @@
 
 
 class StateService:
-    """Answers requests of other nodes.
+    """Answers requests of other entries.
 
     :param timers: the timer service.
     :param follower: follows the published state.
     :param membership: the members of the fleet.
-    :param reads_platform: returns whether this node successfully reads the platform itself.
-    :ivar leaving: whether this node is stopping, so that others have to follow another one.
+    :param reads_platform: returns whether this entry successfully reads the platform itself.
+    :ivar leaving: whether this entry is stopping, so that others have to follow another one.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
             )
 
     def _state_response(self, state: Snapshot | Changes, requester: _RequesterState) -> Response:
-        """Encode a state without the parts that the requesting node already has."""
+        """Encode a state without the parts that the requesting entry already has."""
         log = self._follower.log
         is_full = isinstance(state, Snapshot)
         same_searchers = is_full and requester.searchers == self._follower.searchers_digest() != ""
--- a/rhubarbhinge/peers/tests/state_sharing.py
+++ b/rhubarbhinge/peers/tests/state_sharing.py
@@ -1,4 +1,4 @@
-"""A node that reads the platform and nodes that follow it, on real sockets."""
+"""An entry that reads the platform and entries that follow it, on real sockets."""
 
 import random
 
@@ -38,8 +38,8 @@
 class UnresponsiveSource(ScriptedSource):
     """Source whose first response a test provides, and that does not respond from then on.
 
-    A node whose reader did not respond in time asks the platform. A real platform responds, or the
-    call times out, after which the reader is asked again.
+    An entry whose reader did not respond in time asks the platform. A real platform responds, or
+    the call times out, after which the reader is asked again.
 
     :param timers: the timer service.
     """
@@ -77,8 +77,8 @@
         return float("inf")
 
 
-class ReaderNode:
-    """A node that reads the platform and serves others.
+class ReaderEntry:
+    """An entry that reads the platform and serves others.
 
     :param root: the tree of components.
     :param timers: the timer service.
@@ -101,8 +101,8 @@
         self.source.callback(state)
 
 
-class FollowerNode:
-    """A node that follows a reader.
+class FollowerEntry:
+    """An entry that follows a reader.
 
     :param root: the tree of components.
     :param timers: the timer service.
@@ -110,7 +110,7 @@
     :param reader: the reader.
     """
 
-    def __init__(self, root: BaseComponent, timers: TimerService, name: str, reader: ReaderNode):
+    def __init__(self, root: BaseComponent, timers: TimerService, name: str, reader: ReaderEntry):
         self.store = UnresponsiveSource(timers)
         client = HttpClient(timers, accept_gzip=True).register(root)
         self.source = SharedSource(timers, client, self.store, name, "hall-a", reader.port)
@@ -123,12 +123,12 @@
         self.follower = Follower(timers, self.source, fleet, random.Random(1), lambda plan: None)
 
     def start(self, state: Snapshot) -> None:
-        """Read the platform once, as each node does at its start, then follow the reader."""
+        """Read the platform once, as each entry does at its start, then follow the reader."""
         self.follower.start()
         self.store.callback(state)
 
     def has_same_state(self, other: Follower) -> bool:
-        """Check whether it has the same state as another node."""
+        """Check whether it has the same state as another entry."""
         own, others = self.follower.snapshot(), other.snapshot()
         return (
             own.revision == others.revision
--- a/rhubarbhinge/peers/tests/test_shared_source.py
+++ b/rhubarbhinge/peers/tests/test_shared_source.py
@@ -149,7 +149,7 @@
         self.receive_report()
         self.set_response(Snapshot(make_revision(41, 1), None, (), 5.0))
         self.source.wait_for_changes(make_revision(40, 1), self.outcomes.append)
-        # Another node has reported the next era since.
+        # Another entry has reported the next era since.
         self.set_response(Snapshot(make_revision(42, 2), None, (), 5.0))
         self.source.wait_for_changes(make_revision(30, 2), self.outcomes.append)
         self.assertNotIn("after=", self.client.paths[-1])
@@ -219,9 +219,9 @@
 
 
 class StartTest(SharedSourceCase):
-    """Starting nodes, which must not overload the platform.
+    """Starting entries, which must not overload the platform.
 
-    Once, 195 starting nodes made 3.4 calls each to the platform: a list and several watches.
+    Once, 195 starting entries made 3.4 calls each to the platform: a list and several watches.
     """
 
     def start(self) -> None:
@@ -285,7 +285,7 @@
         self.assertEqual((self.store.watched_revisions, len(self.client.paths)), ([], 1))
 
     def test_reader_that_does_not_read_yet_is_asked_again(self):
-        # When all 39 nodes of a domain start together, some learn late which has the lowest name.
+        # When all 39 entries of a domain start together, some learn late which has the lowest name.
         self.start()
         self.add_members("vm-0")
         self.client.outcome = Reply(503, {}, b"")
--- a/rhubarbhinge/peers/tests/test_state_transfer_size.py
+++ b/rhubarbhinge/peers/tests/test_state_transfer_size.py
@@ -1,11 +1,11 @@
-"""Size of state transfers between nodes, which share the network link with search requests.
+"""Size of state transfers between entries, which share the network link with search requests.
 
 Guards against a reader that saturates its link by sending the full state to each follower. In an
 incident with 59 VMs, the reader of a failure domain sent a changed serving plan in full to each of
-eleven nodes, 590 KB in total, which filled its link of 8.4 Mbit/s for half a second. Its searches
-were delayed by 346 ms, its delegated requests were given up as not taken, and six searches
-went to more searchers than allowed. After each new plan and each change of readers, readers sent
-ten times as much in a second as other VMs.
+eleven entries, 590 KB in total, which filled its link of 8.4 Mbit/s for half a second. Its searches
+were delayed by 346 ms, its delegated requests were given up as not taken, and six searches went to
+more searchers than allowed. After each new plan and each change of readers, readers sent ten times
+as much in a second as other VMs.
 """
 
 import unittest
@@ -13,14 +13,14 @@
 from circuits import BaseComponent
 from msgspec.structs import replace
 
-from rhubarbhinge.peers.tests.state_sharing import FollowerNode, ReaderNode, large_state
+from rhubarbhinge.peers.tests.state_sharing import FollowerEntry, ReaderEntry, large_state
 from rhubarbhinge.published import Changes
 from rhubarbhinge.timing import TimerService
 from rhubarbhinge.utils.testing import run_until, stop_tree
 from rhubarbhinge.utils.testing_revisions import make_revision
 
 FOLLOWERS = 11
-"""Nodes that follow the reader in a failure domain of twelve."""
+"""Entries that follow the reader in a failure domain of twelve."""
 REQUEST_WAIT_MS = 30.0
 """A delegated request that is not taken within this time is given up, so a transfer has to be
 shorter."""
@@ -29,7 +29,7 @@
 MAX_BYTES = int(REQUEST_WAIT_MS * LINK_BYTES_PER_MS)
 
 TIMEOUT_S = 40.0
-"""Timeout of each wait; a node that was suspended does not ask its reader for three seconds."""
+"""Timeout of each wait; an entry that was suspended does not ask its reader for three seconds."""
 
 
 class StateTransferSizeTest(unittest.TestCase):
@@ -38,20 +38,22 @@
         self.timers = TimerService().register(self.root)
         self.addCleanup(stop_tree, self.root)
         self.state = large_state()
-        self.reader = ReaderNode(self.root, self.timers)
+        self.reader = ReaderEntry(self.root, self.timers)
         self.reader.receive(self.state)
-        self.nodes = [self.make_node(self.reader, number) for number in range(FOLLOWERS)]
+        self.entries = [self.make_entry(self.reader, number) for number in range(FOLLOWERS)]
         self.wait_until_received(self.reader)
 
-    def make_node(self, reader: ReaderNode, number: int) -> FollowerNode:
-        node = FollowerNode(self.root, self.timers, f"vm-{number + 2}", reader)
-        node.start(self.state)
-        return node
+    def make_entry(self, reader: ReaderEntry, number: int) -> FollowerEntry:
+        entry = FollowerEntry(self.root, self.timers, f"vm-{number + 2}", reader)
+        entry.start(self.state)
+        return entry
 
-    def wait_until_received(self, reader: ReaderNode) -> None:
+    def wait_until_received(self, reader: ReaderEntry) -> None:
         def received() -> bool:
-            have_waited = all(node.source.reader_calls > 1 for node in self.nodes)
-            return have_waited and all(node.has_same_state(reader.follower) for node in self.nodes)
+            have_waited = all(entry.source.reader_calls > 1 for entry in self.entries)
+            return have_waited and all(
+                entry.has_same_state(reader.follower) for entry in self.entries
+            )
 
         self.assertTrue(
             run_until(self.root, received, TIMEOUT_S), "the state was not received in time"
@@ -78,22 +80,22 @@
     def test_new_reader_sends_little_to_nodes_with_the_same_state(self):
         # The previous reader has stopped or restarted, and its log is lost.
         for changed in (False, True):
-            reader = ReaderNode(self.root, self.timers, seed=2 + changed)
+            reader = ReaderEntry(self.root, self.timers, seed=2 + changed)
             reader.receive(self.state)
             if changed:
                 reader.receive(Changes(make_revision(101), replace(self.state.plan, version=8)))
-            for node in self.nodes:
-                node.source._port = reader.port
+            for entry in self.entries:
+                entry.source._port = reader.port
             with self.subTest(changed=changed):
                 self.wait_until_received(reader)
                 self.assertLessEqual(reader.server.sent_bytes, MAX_BYTES)
 
     def test_node_that_lacks_a_searcher_gets_all_from_a_new_reader(self):
-        reader = ReaderNode(self.root, self.timers, seed=2)
+        reader = ReaderEntry(self.root, self.timers, seed=2)
         added = replace(self.state.searchers[0], incarnation="i-new")
         removed = self.state.searchers[1].incarnation
         reader.receive(self.state)
         reader.receive(Changes(make_revision(101), None, (added,), (removed,)))
-        for node in self.nodes:
-            node.source._port = reader.port
+        for entry in self.entries:
+            entry.source._port = reader.port
         self.wait_until_received(reader)
--- a/rhubarbhinge/published/_change_log.py
+++ b/rhubarbhinge/published/_change_log.py
@@ -1,4 +1,4 @@
-"""Log of recent state changes, from which other nodes read incremental updates."""
+"""Log of recent state changes, from which other entries read incremental updates."""
 
 import random
 from collections import deque
@@ -13,7 +13,7 @@
 """A new serving plan, an added or changed searcher, the incarnation of a removed searcher, or the
 start or end of the evacuation of a failure domain."""
 MAX_CHANGES = 1_000
-"""Changes kept. A node that is further behind receives the full state."""
+"""Changes kept. An entry that is further behind receives the full state."""
 
 
 class CoalescedChanges(NamedTuple):
@@ -58,7 +58,7 @@
 
 
 class ChangeLog:
-    """The most recent changes, in the order in which this node applied them.
+    """The most recent changes, in the order in which this entry applied them.
 
     Positions count changes and are independent of the platform's revisions: a lapsed searcher is
     removed here later than the platform reported it.
--- a/rhubarbhinge/published/_changes.py
+++ b/rhubarbhinge/published/_changes.py
@@ -18,12 +18,12 @@
         requested revision, changes between the two may be missing.
     :param plan: the serving plan, if it changed.
     :param searchers: added or changed searchers.
-    :param removed: incarnations whose entries were removed.
+    :param removed: incarnations whose store entries were removed.
     :param age_ms: time since the platform confirmed this state, if it comes from a peer.
     :param by_peer: whether a peer sent it, which costs the platform no call.
     :param lapsed_ms: searchers that are no longer published, with the time for which the sending
         peer still retains them. The revision covers their removal, so it is not reported again.
-    :param unusable: entries in the platform's store that can't be used; peers do not send them.
+    :param unusable: store entries that can't be used; peers do not send them.
     :param evacuations: failure domains whose evacuation started or ended.
     """
 
--- a/rhubarbhinge/published/_follower.py
+++ b/rhubarbhinge/published/_follower.py
@@ -31,17 +31,16 @@
 
     The version of the serving plan only grows, whoever sends it and whatever the platform has lost.
     Everything else is ordered by its :class:`~rhubarbhinge.utils.revision.Revision`. A failed read
-    changes nothing. :class:`PublishedSearchers` and :class:`EvacuatedDomains` describe how entries
-    are treated that vanish, or that differ after the platform was restored from a backup.
+    changes nothing. :class:`PublishedSearchers` and :class:`EvacuatedDomains` describe how store
+    entries are treated that vanish, or that differ after the platform was restored from a backup.
 
     :param timers: the timer service.
     :param source: reads the published state.
     :param fleet: receives the searchers.
     :param rng: adds jitter to pauses.
     :param on_plan: called with each new serving plan.
-    :ivar log: recent changes, for nodes that follow this one.
-    :ivar unusable: entries in the platform's store that describe no usable searcher or serving
-        plan.
+    :ivar log: recent changes, for entries that follow this one.
+    :ivar unusable: store entries that describe no usable searcher or serving plan.
     :ivar on_changed: called when the log has grown.
     """
 
@@ -87,7 +86,7 @@
         return self._resync.is_due
 
     def on_peer_revision(self, revision: Revision, age_ms: float) -> None:
-        """Process the revision of a peer; an equal one confirms the state of this node.
+        """Process the revision of a peer; an equal one confirms the state of this entry.
 
         :param revision: revision of the peer's state.
         :param age_ms: time since it was confirmed; -1 if it never was.
@@ -211,7 +210,7 @@
             self.unusable.replace(snapshot.unusable)
         if snapshot.evacuated is not None:
             self._evacuated.replace(snapshot.evacuated, restored)
-        self._searchers.remove_overwritten(entry.incarnation for entry in snapshot.unusable)
+        self._searchers.remove_overwritten(one.incarnation for one in snapshot.unusable)
         self._searchers.replace(
             snapshot.searchers,
             snapshot.lapsed_ms,
@@ -301,7 +300,7 @@
         self.unusable.discard_searchers(searcher.incarnation for searcher in changes.searchers)
         self.unusable.discard_searchers(changes.removed)
         self.unusable.add(changes.unusable)
-        self._searchers.remove_overwritten(entry.incarnation for entry in changes.unusable)
+        self._searchers.remove_overwritten(one.incarnation for one in changes.unusable)
         for searcher in changes.searchers:
             self._searchers.apply_change(searcher, changes.by_peer and self._resync.is_settling)
         self._searchers.retain(changes.lapsed_ms)
--- a/rhubarbhinge/published/_published_searchers.py
+++ b/rhubarbhinge/published/_published_searchers.py
@@ -13,28 +13,28 @@
 from rhubarbhinge.utils.revision import Revision
 
 OUTAGE_GRACE_MS = 2_000.0
-"""Time within which entries that lapsed during an outage of the platform are published again if
-their searchers are alive."""
+"""Time within which store entries that lapsed during an outage of the platform are published again
+if their searchers are alive."""
 MASS_LAPSE_COUNT = 5
 MASS_LAPSE_SHARE = 0.1
-"""When at least this number of entries, and this share of all, vanish with one response of the
-platform, their leases ran out during an outage that went unnoticed: searchers that leave do so one
-by one, or report first that they are draining."""
+"""When at least this number of store entries, and this share of all, vanish with one response of
+the platform, their leases ran out during an outage that went unnoticed: searchers that leave do so
+one by one, or report first that they are draining."""
 MASS_LAPSE_SILENCE_MS = 2_000.0
-"""Entries count as a mass lapse only if the platform has sent nothing for this time; a lease runs
-longer."""
+"""Store entries count as a mass lapse only if the platform has sent nothing for this time; a lease
+runs longer."""
 MASS_LAPSE_GRACE_MS = 1_500.0
-"""How long the entries of a mass lapse are retained. When this was observed, they came back within
-1.3 s. A searcher that has left serves for at least another three seconds, so that no request
+"""How long the store entries of a mass lapse are retained. When this was observed, they came back
+within 1.3 s. A searcher that has left serves for at least another three seconds, so that no request
 reaches it too late."""
 
 
 class PublishedSearchers:
     """The published searchers, and those that are retained for a while after they vanished.
 
-    Entries that are missing after an outage of the platform are retained for ``OUTAGE_GRACE_MS``,
-    those that vanish together with many others for ``MASS_LAPSE_GRACE_MS``; after that they are
-    removed. A start of a searcher is never replaced by an earlier one.
+    Store entries that are missing after an outage of the platform are retained for
+    ``OUTAGE_GRACE_MS``, those that vanish together with many others for ``MASS_LAPSE_GRACE_MS``;
+    after that they are removed. A start of a searcher is never replaced by an earlier one.
 
     :param timers: the timer service.
     :param fleet: receives the searchers.
@@ -104,8 +104,8 @@
     def update(self, searcher: Searcher, is_lapsed: bool = False, is_logged: bool = True) -> None:
         """Add or update a searcher, unless the update is about an earlier start than the known one.
 
-        Such an entry was written late, by or on behalf of a start that has ended. It does not show
-        that the later start has left.
+        Such a store entry was written late, by or on behalf of a start that has ended. It does not
+        show that the later start has left.
 
         :param searcher: the published searcher.
         :param is_lapsed: whether it is no longer published, and only retained by the sender.
@@ -204,7 +204,7 @@
                 self._lapsed.retain(incarnation, grace_ms)
 
     def remove_overwritten(self, incarnations: Iterable[str]) -> None:
-        """Remove searchers whose entries were overwritten by unusable values.
+        """Remove searchers whose store entries were overwritten by unusable values.
 
         :param incarnations: the searchers.
         """
@@ -218,7 +218,7 @@
         return not is_known and self._removed_starts.has_same_or_later(searcher)
 
     def _end_lapse(self, searcher: Searcher) -> None:
-        """Record that a lapsed searcher is published again, also for nodes that follow this one."""
+        """Record that a lapsed searcher is published again, also for followers of this entry."""
         if searcher.incarnation in self._lapsed:
             self._lapsed.discard(searcher.incarnation)
             self._on_change(searcher)
--- a/rhubarbhinge/published/_read_backoff.py
+++ b/rhubarbhinge/published/_read_backoff.py
@@ -5,7 +5,7 @@
 MIN_BACKOFF_MS = 100.0
 """First delay after a failed read; short, as a lost response is the most frequent cause."""
 MAX_BACKOFF_MS = 1_000.0
-"""Longest delay; the platform promises that lapsed entries are back two seconds after its
+"""Longest delay; the platform promises that lapsed store entries are back two seconds after its
 return."""
 OVERLOAD_BACKOFF_MS = 500.0
 """Shortest delay after the platform asked for fewer calls."""
--- a/rhubarbhinge/published/_resync_timer.py
+++ b/rhubarbhinge/published/_resync_timer.py
@@ -4,13 +4,13 @@
 
 SETTLE_MS = 8_000.0
 """Time after the platform was restored from a backup, or after a peer sent its full state, when it
-is decided what becomes of retained and unverified entries. Both take 5 s at most."""
+is decided what becomes of retained and unverified store entries. Both take 5 s at most."""
 
 
 class ResyncTimer:
     """Decides when the full state has to be requested once more.
 
-    What expires by time has no revision: nodes at the same revision would not learn it from each
+    What expires by time has no revision: entries at the same revision would not learn it from each
     other.
 
     :param timers: the timer service.
@@ -23,7 +23,7 @@
 
     @property
     def is_settling(self) -> bool:
-        """Whether it is not yet decided which entries of a restored platform are obsolete."""
+        """Whether it is not yet decided which store entries of a restored platform are obsolete."""
         return self._timers.now_ms() < self._settled_at_ms
 
     @property
--- a/rhubarbhinge/published/_searcher_event_log.py
+++ b/rhubarbhinge/published/_searcher_event_log.py
@@ -7,7 +7,7 @@
 
 MAX_SINGLE_EVENTS = 5
 """More searchers that change at once share log lines. When 135 shards of three searchers replace
-others, each node would write 800 lines just when it has the least processor time to spare."""
+others, each entry would write 800 lines just when it has the least processor time to spare."""
 MAX_NAMES_PER_LINE = 40
 """Names in one line; at some 12 characters each they fill half of a line of a kilobyte."""
 
@@ -32,7 +32,7 @@
         self._published[searcher.incarnation] = searcher
 
     def add_removed(self, incarnation: str, revision: Revision) -> None:
-        """Log a searcher whose entry was removed.
+        """Log a searcher whose store entry was removed.
 
         :param incarnation: the searcher.
         :param revision: the revision that was current when it was removed.
--- a/rhubarbhinge/published/_searchers_digest.py
+++ b/rhubarbhinge/published/_searchers_digest.py
@@ -1,4 +1,4 @@
-"""Digest by which two nodes detect that they know the same searchers."""
+"""Digest by which two entries detect that they know the same searchers."""
 
 import hashlib
 from collections.abc import Iterable
--- a/rhubarbhinge/published/_unusable_entries.py
+++ b/rhubarbhinge/published/_unusable_entries.py
@@ -1,4 +1,4 @@
-"""PublishedStatus entries that can't be used, logged once for each cause."""
+"""Store entries that can't be used, logged once for each cause."""
 
 from collections.abc import Callable, Iterable
 
@@ -36,23 +36,23 @@
         return len(self._cause_by_key)
 
     def replace(self, entries: Iterable[UnusableEntry]) -> None:
-        """Replace all entries by those of a list of the full state.
+        """Replace all store entries by those of a list of the full state.
 
-        :param entries: the entries.
+        :param entries: the store entries.
         """
         previous = self._cause_by_key
         self._cause_by_key, self._key_by_incarnation = {}, {}
         self._record(entries, previous)
 
     def add(self, entries: Iterable[UnusableEntry]) -> None:
-        """Add newly written entries that can't be used.
+        """Add newly written store entries that can't be used.
 
-        :param entries: the entries.
+        :param entries: the store entries.
         """
         self._record(entries, dict(self._cause_by_key))
 
     def discard_searchers(self, incarnations: Iterable[str]) -> None:
-        """Discard the entries of searchers that can be used now, or were removed.
+        """Discard the store entries of searchers that can be used now, or were removed.
 
         :param incarnations: the searchers.
         """
--- a/rhubarbhinge/published/_unusable_entry.py
+++ b/rhubarbhinge/published/_unusable_entry.py
@@ -1,13 +1,13 @@
-"""A published entry that can't be used."""
+"""A store entry that can't be used."""
 
 from msgspec import Struct
 
 
 class UnusableEntry(Struct, frozen=True):
-    """A published entry that can't be used.
+    """A store entry that can't be used.
 
     :param key: key under which it is published.
-    :param cause: what is wrong with it, without details that differ from entry to entry.
+    :param cause: what is wrong with it, without details that differ from key to key.
     :param incarnation: the searcher that it should describe; empty if it should describe something
         else.
     """
--- a/rhubarbhinge/published/tests/test_follower.py
+++ b/rhubarbhinge/published/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Following the published state: no reverts, and removal of entries neither early nor late."""
+"""Following the published state: no reverts; store entries are removed neither early nor late."""
 
 import random
 import unittest
--- a/rhubarbhinge/published/tests/test_restore_schedules.py
+++ b/rhubarbhinge/published/tests/test_restore_schedules.py
@@ -1,10 +1,10 @@
-"""Randomized schedules of platform failures, and nodes that read the platform and each other.
+"""Randomized schedules of platform failures, and entries that read the platform and each other.
 
 The platform is restored from backups, loses its history, loses or delays responses, returns stale
-lists, and is unreachable for some nodes. Three nodes read it, follow one another, and pull full
-states from each other. In any order of events, no node reverts to an older serving plan, no known
+lists, and is unreachable for some entries. Three entries read it, follow one another, and pull full
+states from each other. In any order of events, no entry reverts to an older serving plan, no known
 revision decreases, searchers that have left get no requests, and the rate of calls is bounded.
-Finally all nodes agree with the platform.
+Finally all entries agree with the platform.
 """
 
 import random
@@ -27,14 +27,14 @@
 SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=400)
 SEARCHERS = tuple(f"i-{number}" for number in range(4))
 DOMAINS = ("hall-a", "hall-b")
-NODES = 3
+ENTRIES = 3
 STEP_MS = 400.0
 LEASE_MS = 3_600.0
-"""Time after which the entry of a searcher that no longer writes is removed."""
+"""Time after which the store entry of a searcher that no longer writes is removed."""
 SETTLE_MS = 8_000.0
-"""Longer than a lease, and than any entry is retained or set aside."""
+"""Longer than a lease, and than any store entry is retained or set aside."""
 MAX_CALLS_PER_S = 12
-"""Of one node: four rounds of changes, each with lost history, a list and a watch."""
+"""Of one entry: four rounds of changes, each with lost history, a list and a watch."""
 
 
 def plan(version: int) -> ServingPlan:
@@ -112,13 +112,13 @@
         )
 
     def expire_leases(self, now_ms: float) -> None:
-        """Remove entries of searchers that a backup held and that no longer write."""
+        """Remove store entries of searchers that a backup held and that no longer write."""
         if now_ms - self.restored_ms >= LEASE_MS:
             for name in [name for name in self.searchers if name not in self.live_searchers]:
                 self.remove_searcher(name)
 
     def write_desired_state(self) -> None:
-        """Have the operator and the searchers write their current entries."""
+        """Have the operator and the searchers write their current store entries."""
         for name, searcher in self.live_searchers.items():
             if self.searchers.get(name) != searcher:
                 self.write_searcher(name)
@@ -159,8 +159,8 @@
         self.changes_by_revision.append((self.number, key))
 
 
-class Node:
-    """A node whose reads the schedule answers."""
+class SimulatedEntry:
+    """An entry whose reads the schedule answers."""
 
     def __init__(self, timers: FakeTimers, number: int):
         self.timers = timers
@@ -173,7 +173,7 @@
         self.fleet = Fleet(timers.now_ms, lambda observed: None)
         self.seen_searchers: set[Searcher] = set()
         self.removed_searchers: set[Searcher] = set()
-        """Searchers that had left and were no longer published when this node removed them."""
+        """Searchers that had left and were no longer published when this entry removed them."""
         self.is_first_read = True
         self.needs_full_state = False
         rng = random.Random(number)
@@ -218,7 +218,7 @@
             self.log_position = ("", -1, 0)
             self.respond(self.outcome(platform))
 
-    def follow(self, reader: "Node") -> None:
+    def follow(self, reader: "SimulatedEntry") -> None:
         """Complete the pending wait with the response of the reader of its domain."""
         if self.pending_revision is None or self.callback is None:
             return
@@ -236,7 +236,7 @@
         )
         self.respond(state)
 
-    def pull(self, peer: "Node") -> None:
+    def pull(self, peer: "SimulatedEntry") -> None:
         """Process the heartbeat of a peer, and pull its state if that is ahead."""
         status = peer.published()
         member = Member(peer.name, "10.0.0.9", "hall-a", 1)
@@ -259,8 +259,8 @@
         published = {one.incarnation for one in self.follower.snapshot().searchers}
         assert {one.searcher.incarnation for one in self.fleet.all()} == published
         known = {replace(one.searcher, draining=False): one.usable for one in self.fleet.all()}
-        # Searchers that the platform still lists do not count as removed: nodes that know that they
-        # have left only set them aside.
+        # Searchers that the platform still lists do not count as removed: entries that know that
+        # they have left only set them aside.
         platform_searchers = (*platform.live_searchers.values(), *platform.searchers.values())
         self.removed_searchers |= (
             self.seen_searchers
@@ -284,16 +284,16 @@
         self.backups = [self.platform.backup()]
         self.start_unix_ms = 1_000
         self.partitioned: set[int] = set()
-        self.delayed: list[tuple[Node, Callable, object]] = []
-        self.nodes = [Node(self.timers, number) for number in range(NODES)]
+        self.delayed: list[tuple[SimulatedEntry, Callable, object]] = []
+        self.entries = [SimulatedEntry(self.timers, number) for number in range(ENTRIES)]
 
     def step(self, kind: str, number: int) -> None:
         getattr(self, f"do_{kind}")(number)
         self.check()
 
     def check(self) -> None:
-        for node in self.nodes:
-            node.check(self.platform)
+        for entry in self.entries:
+            entry.check(self.platform)
 
     def do_start(self, number: int) -> None:
         self.start_unix_ms += 10
@@ -335,7 +335,7 @@
         self.backups = [one for one in self.backups if one.number <= self.platform.number]
 
     def do_lose_change(self, number: int) -> None:
-        """Lose a change that all reachable nodes have read."""
+        """Lose a change that all reachable entries have read."""
         backup = self.platform.backup()
         (self.do_start, self.do_leave, self.do_configure, self.do_evacuate)[number](number)
         for _ in range(2):
@@ -343,9 +343,9 @@
         self.platform.restore(backup, self.timers.now_ms())
 
     def do_read_all(self, number: int) -> None:
-        for index, node in enumerate(self.nodes):
+        for index, entry in enumerate(self.entries):
             if index not in self.partitioned:
-                node.read(self.platform)
+                entry.read(self.platform)
         self.do_wait(number)
 
     def do_rewrite(self, number: int) -> None:
@@ -355,57 +355,57 @@
         self.platform.compact()
 
     def do_read(self, number: int) -> None:
-        node = self.nodes[number % NODES]
-        if number % NODES not in self.partitioned:
-            node.read(self.platform)
+        entry = self.entries[number % ENTRIES]
+        if number % ENTRIES not in self.partitioned:
+            entry.read(self.platform)
 
     def do_fail(self, number: int) -> None:
-        self.nodes[number % NODES].respond(ReadFailure("timeout"))
+        self.entries[number % ENTRIES].respond(ReadFailure("timeout"))
 
     def do_delay_response(self, number: int) -> None:
         """Record a current response, to be delivered later."""
-        node = self.nodes[number % NODES]
-        if node.callback is not None and number % NODES not in self.partitioned:
-            self.delayed.append((node, node.callback, node.outcome(self.platform)))
+        entry = self.entries[number % ENTRIES]
+        if entry.callback is not None and number % ENTRIES not in self.partitioned:
+            self.delayed.append((entry, entry.callback, entry.outcome(self.platform)))
 
     def do_deliver_response(self, number: int) -> None:
         """Deliver a delayed response, if it is still awaited."""
         if self.delayed:
-            node, callback, outcome = self.delayed.pop(0)
-            if node.callback is callback:
-                node.log_position = ("", -1, 0)
-                node.respond(outcome)
+            entry, callback, outcome = self.delayed.pop(0)
+            if entry.callback is callback:
+                entry.log_position = ("", -1, 0)
+                entry.respond(outcome)
 
     def do_partition(self, number: int) -> None:
-        self.partitioned ^= {number % NODES}
+        self.partitioned ^= {number % ENTRIES}
 
     def do_follow(self, number: int) -> None:
-        self.nodes[1].follow(self.nodes[0])
+        self.entries[1].follow(self.entries[0])
 
     def do_pull(self, number: int) -> None:
-        self.nodes[number % NODES].pull(self.nodes[(number + 1 + number // 2) % NODES])
+        self.entries[number % ENTRIES].pull(self.entries[(number + 1 + number // 2) % ENTRIES])
 
     def do_restart(self, number: int) -> None:
-        self.nodes[number % NODES] = Node(self.timers, number % NODES)
+        self.entries[number % ENTRIES] = SimulatedEntry(self.timers, number % ENTRIES)
 
     def do_wait(self, number: int) -> None:
         self.timers.advance(STEP_MS)
         self.platform.expire_leases(self.timers.now_ms())
 
     def settle(self) -> None:
-        """Rewrite all entries and let the nodes that reach the platform read them."""
+        """Rewrite all store entries and let the entries that reach the platform read them."""
         self.platform.write_desired_state()
         for _ in range(3):
             for _ in range(round(SETTLE_MS / STEP_MS)):
                 self.do_wait(0)
-                for number, node in enumerate(self.nodes):
+                for number, entry in enumerate(self.entries):
                     if number in self.partitioned:
-                        node.respond(ReadFailure("timeout"))
+                        entry.respond(ReadFailure("timeout"))
                     else:
-                        node.read(self.platform)
-                    for peer in self.nodes:
-                        if peer is not node:
-                            node.pull(peer)
+                        entry.read(self.platform)
+                    for peer in self.entries:
+                        if peer is not entry:
+                            entry.pull(peer)
                 self.check()
 
 
@@ -452,8 +452,8 @@
         schedule.partitioned = {number for number in schedule.partitioned if number == 2}
         schedule.settle()
         platform = schedule.platform
-        for node in schedule.nodes:
-            state = node.follower.snapshot()
+        for entry in schedule.entries:
+            state = entry.follower.snapshot()
             self.assertEqual(state.plan.version, platform.desired_version)
             self.assertEqual(state.revision, platform.revision)
             self.assertEqual(state.evacuated, tuple(sorted(platform.desired_evacuated)))
--- a/rhubarbhinge/published/tests/test_restores.py
+++ b/rhubarbhinge/published/tests/test_restores.py
@@ -1,4 +1,4 @@
-"""A platform that is restored from a backup, which lacks entries or holds obsolete ones."""
+"""A platform that is restored from a backup, which lacks store entries or holds obsolete ones."""
 
 import random
 import unittest
@@ -11,7 +11,7 @@
 from rhubarbhinge.utils.testing_revisions import make_revision
 
 REWRITE_GRACE_MS = 2_000.0
-"""Time within which searchers and operators write their entries again."""
+"""Time within which searchers and operators write their store entries again."""
 VERIFICATION_MS = 5_000.0
 """A searcher that is still published after this time has written again."""
 RESYNC_DELAY_MS = 8_000.0
@@ -303,7 +303,8 @@
 
 
 class ResyncTest(RestoresCase):
-    """What expires by time has no revision, so nodes at the same revision would not learn of it."""
+    """What expires by time has no revision, so entries at the same revision would not learn of
+    it."""
 
     def test_full_state_is_requested_once_after_settling(self):
         self.restore_platform()
--- a/rhubarbhinge/published/tests/test_starts.py
+++ b/rhubarbhinge/published/tests/test_starts.py
@@ -1,9 +1,9 @@
-"""Searchers that restart under the same id, and unusable entries, with updates in any order.
+"""Searchers that restart under the same id, and unusable store entries, with updates in any order.
 
-One node reads the store. Another one follows it, receives outdated snapshots of it, or reads the
+One entry reads the store. Another one follows it, receives outdated snapshots of it, or reads the
 store itself. In any order of updates, no start is replaced by an earlier one, searchers that have
-left get no requests, unusable entries yield no searcher, and finally all nodes agree with the
-store.
+left get no requests, unusable store entries yield no searcher, and finally all entries agree with
+the store.
 """
 
 import random
@@ -22,7 +22,7 @@
 SETTINGS = settings(derandomize=True, deadline=None, database=None, max_examples=400)
 IDS = ("i-0", "i-1", "i-2")
 SETTLE_MS = 8_000.0
-"""Longer than vanished entries are retained, and than the longest delay between two reads."""
+"""Longer than vanished store entries are retained, and than the longest delay between two reads."""
 
 
 def searcher(name: str, start_unix_ms: int | None, **changes: object) -> Searcher:
@@ -83,8 +83,8 @@
         self.changes_by_revision.append((self.revision, name))
 
 
-class Node:
-    """A node whose reads the test answers."""
+class SimulatedEntry:
+    """An entry whose reads the test answers."""
 
     def __init__(self, timers: FakeTimers, seed: int):
         self.timers = timers
@@ -118,8 +118,8 @@
         else:
             self._respond(store.watch(after.number))
 
-    def follow(self, other: "Node") -> None:
-        """Receive changes from another node, as by a long poll, unless that node is behind."""
+    def follow(self, other: "SimulatedEntry") -> None:
+        """Receive changes from another entry, as by a long poll, unless that entry is behind."""
         state = other.follower.changes_since(*self.log_position)
         if self.pending_read[0] != "changes" or state.revision < self.pending_read[1]:
             return
@@ -192,15 +192,15 @@
     def __init__(self):
         self.timers = FakeTimers()
         self.store = Store()
-        self.nodes = (Node(self.timers, 1), Node(self.timers, 2))
+        self.entries = (SimulatedEntry(self.timers, 1), SimulatedEntry(self.timers, 2))
         self.start_unix_ms = 1_000
         self.starts: dict[str, list[Searcher]] = {name: [] for name in IDS}
         self.saved_snapshot: Snapshot | None = None
 
     def step(self, kind: str, name: str) -> None:
         getattr(self, "do_" + kind.partition("-")[0])(name, kind)
-        for node in self.nodes:
-            node.check()
+        for entry in self.entries:
+            entry.check()
 
     def do_start(self, name: str, kind: str) -> None:
         self.start_unix_ms += 10
@@ -221,7 +221,7 @@
             self._write_start(replace(self.starts[name][-1], draining=True))
 
     def do_write_stale(self, name: str, kind: str) -> None:
-        """Write the entry of an earlier start."""
+        """Write the store entry of an earlier start."""
         if len(self.starts[name]) > 1:
             self.store.write(name, self.starts[name][-2])
 
@@ -235,31 +235,31 @@
         self.store.compact()
 
     def do_read(self, name: str, kind: str) -> None:
-        self.nodes[int(kind[-1])].read(self.store)
+        self.entries[int(kind[-1])].read(self.store)
 
     def do_follow(self, name: str, kind: str) -> None:
-        self.nodes[1].follow(self.nodes[0])
+        self.entries[1].follow(self.entries[0])
 
     def do_save(self, name: str, kind: str) -> None:
-        self.saved_snapshot = self.nodes[0].follower.snapshot()
+        self.saved_snapshot = self.entries[0].follower.snapshot()
 
     def do_offer(self, name: str, kind: str) -> None:
         if self.saved_snapshot is not None:
-            self.nodes[1].follower.offer(self.saved_snapshot)
+            self.entries[1].follower.offer(self.saved_snapshot)
 
     def do_fail(self, name: str, kind: str) -> None:
-        self.nodes[int(kind[-1])].fail()
+        self.entries[int(kind[-1])].fail()
 
     def do_wait(self, name: str, kind: str) -> None:
         self.timers.advance(400.0)
 
     def settle(self) -> None:
         for _ in range(6):
-            for node in self.nodes:
-                node.read(self.store)
+            for entry in self.entries:
+                entry.read(self.store)
             self.timers.advance(SETTLE_MS)
-            for node in self.nodes:
-                node.check()
+            for entry in self.entries:
+                entry.check()
 
     def _write_start(self, one: Searcher) -> None:
         starts = self.starts[one.incarnation]
@@ -278,13 +278,13 @@
         for kind, name in steps:
             schedule.step(kind, name)
         schedule.settle()
-        for node in schedule.nodes:
-            known = {one.searcher.incarnation: one.searcher for one in node.fleet.all()}
+        for entry in schedule.entries:
+            known = {one.searcher.incarnation: one.searcher for one in entry.fleet.all()}
             for name in IDS:
                 stored = schedule.store.searchers.get(name)
                 if stored is None:
                     self.assertNotIn(name, known)
-                elif (stored.started_unix_ms or 1 << 60) >= node.latest_starts.get(name, 0):
+                elif (stored.started_unix_ms or 1 << 60) >= entry.latest_starts.get(name, 0):
                     self.assertEqual(known[name].service, stored.service)
                     self.assertEqual(known[name].port, stored.port)
 
@@ -292,18 +292,18 @@
 class NextStartTest(unittest.TestCase):
     def setUp(self):
         self.store = Store()
-        self.node = Node(FakeTimers(), 1)
+        self.entry = SimulatedEntry(FakeTimers(), 1)
         self.store.write("i-0", searcher("i-0", 1_000))
-        self.node.read(self.store)
+        self.entry.read(self.store)
 
     def observed(self) -> ObservedSearcher:
-        (one,) = self.node.fleet.all()
+        (one,) = self.entry.fleet.all()
         return one
 
     def write(self, one: Searcher | None) -> None:
         self.store.write("i-0", one)
-        self.node.timers.advance(400.0)
-        self.node.read(self.store)
+        self.entry.timers.advance(400.0)
+        self.entry.read(self.store)
 
     def test_observations_of_a_start_do_not_apply_to_the_next_one(self):
         first_start = self.observed()
@@ -312,7 +312,7 @@
             first_start.on_sent(attempt, 0.0)
             first_start.on_refused(attempt, 0.0)
         first_start.on_sent(9, 0.0)
-        self.node.fleet.mark_gone(first_start)
+        self.entry.fleet.mark_gone(first_start)
         self.write(searcher("i-0", 2_000, warmup_ms=500.0))
         next_one = self.observed()
         self.assertTrue(next_one.usable and not next_one.is_down)
@@ -323,8 +323,8 @@
     def test_draining_is_final_without_start_times(self):
         self.write(None)
         self.store.write("i-0", searcher("i-0", None))
-        self.node.timers.advance(400.0)
-        self.node.read(self.store)
+        self.entry.timers.advance(400.0)
+        self.entry.read(self.store)
         self.write(searcher("i-0", None, draining=True))
         self.write(searcher("i-0", None))
         self.assertFalse(self.observed().usable)
@@ -332,40 +332,40 @@
     def test_state_of_earlier_release_without_start_time_keeps_the_start(self):
         before = self.observed()
         snapshot = Snapshot(make_revision(50), None, (searcher("i-0", None, warmup_ms=7.0),))
-        self.node.follower.offer(snapshot)
+        self.entry.follower.offer(snapshot)
         self.assertIs(self.observed(), before)
         self.assertEqual(before.searcher, searcher("i-0", 1_000, warmup_ms=7.0))
 
     def test_lapsed_searcher_that_restarts_is_retained_under_its_new_start_only(self):
-        self.node.fail()
-        self.node.timers.advance(400.0)
+        self.entry.fail()
+        self.entry.timers.advance(400.0)
         self.store.remove("i-0")
-        self.node.read(self.store)
+        self.entry.read(self.store)
         first_start = self.observed()
         self.write(searcher("i-0", 2_000))
         self.assertFalse(first_start.usable)
-        self.node.timers.advance(5_000.0)
+        self.entry.timers.advance(5_000.0)
         self.assertEqual(self.observed().searcher.started_unix_ms, 2_000)
 
     def test_late_write_of_an_earlier_start_does_not_retain_a_lapsed_searcher(self):
         self.write(searcher("i-0", 2_000))
-        self.node.timers.advance(400.0)
-        self.node.fail()
-        self.node.timers.advance(400.0)
+        self.entry.timers.advance(400.0)
+        self.entry.fail()
+        self.entry.timers.advance(400.0)
         self.store.remove("i-0")
-        self.node.read(self.store)
+        self.entry.read(self.store)
         self.assertEqual(self.observed().searcher.started_unix_ms, 2_000)
         self.write(searcher("i-0", 1_000))
-        self.node.timers.advance(5_000.0)
-        self.assertEqual(list(self.node.fleet.all()), [])
+        self.entry.timers.advance(5_000.0)
+        self.assertEqual(list(self.entry.fleet.all()), [])
 
     def test_late_write_of_an_earlier_start_does_not_restore_a_removed_searcher(self):
         self.write(searcher("i-0", 2_000))
         self.store.remove("i-0")
-        self.node.timers.advance(400.0)
-        self.node.read(self.store)
+        self.entry.timers.advance(400.0)
+        self.entry.read(self.store)
         self.write(searcher("i-0", 1_000))
-        self.assertEqual(list(self.node.fleet.all()), [])
+        self.assertEqual(list(self.entry.fleet.all()), [])
         self.write(searcher("i-0", 2_000))
         self.assertEqual(self.observed().searcher.started_unix_ms, 2_000)
 
@@ -373,13 +373,13 @@
         for kind in ("list", "watch"):
             with self.subTest(kind):
                 self.setUp()
-                self.node.fail()
+                self.entry.fail()
                 if kind == "list":
                     self.store.compact()
-                self.node.timers.advance(400.0)
+                self.entry.timers.advance(400.0)
                 self.store.write("i-0", None)
                 if kind == "list":
                     self.store.compact()
-                    self.node.read(self.store)
-                self.node.read(self.store)
-                self.assertEqual(list(self.node.fleet.all()), [])
+                    self.entry.read(self.store)
+                self.entry.read(self.store)
+                self.assertEqual(list(self.entry.fleet.all()), [])
