--- a/rhubarbhinge/delegation/_client.py
+++ b/rhubarbhinge/delegation/_client.py
@@ -93,7 +93,7 @@
         self._client.cancel(self._number)
 
     def grant(self, services: tuple[str, ...]) -> None:
-        """Allow one more attempt at each of some shards.
+        """Grant one more attempt at each of some shards.
 
         :param services: the shards.
         """
@@ -144,7 +144,7 @@
         """Choose connected entries of a failure domain, and open missing links to others.
 
         :param failure_domain: the failure domain.
-        :param count: greatest number of entries.
+        :param count: maximum number of entries.
         :returns: their IP addresses; fewer than ``count``, or none, if not enough are connected.
         """
         if count <= 0:
@@ -178,7 +178,7 @@
         :param ip: its IP address, as returned by :meth:`choose`.
         :param request: the request; its number is assigned here.
         :param on_reply: called with the results, not before this method returns.
-        :param grant: decides on further attempts that the delegate asks for.
+        :param grant: decides on further attempts that the delegate requests.
         :returns: a handle to cancel the request.
         """
         number = next(self._numbers)
@@ -206,7 +206,7 @@
             self._send(call.link, DelegateCancel(number))
 
     def grant(self, number: int, services: tuple[str, ...]) -> None:
-        """Allow one more attempt at each of some shards of a request.
+        """Grant one more attempt at each of some shards of a request.
 
         :param number: the request's number.
         :param services: the shards.
--- a/rhubarbhinge/delegation/_delegated_sender.py
+++ b/rhubarbhinge/delegation/_delegated_sender.py
@@ -150,7 +150,7 @@
     def deny_attempts(self, services: tuple[str, ...], report: AttemptReport) -> tuple[str, ...]:
         """Grant no further attempts, as this object stands for a single one.
 
-        :param services: shards for which the delegate asks for an attempt.
+        :param services: shards for which the delegate requests an attempt.
         :param report: progress of its attempt.
         :returns: no shards.
         """
--- a/rhubarbhinge/delegation/_messages.py
+++ b/rhubarbhinge/delegation/_messages.py
@@ -23,9 +23,9 @@
     :param body: its body.
     :param route: name of the route, for which delays are tracked separately.
     :param services: the shards.
-    :param top_k: most records in the reply.
+    :param top_k: maximum number of records in the reply.
     :param priority: priority of the request.
-    :param max_attempts: most searchers of each shard that may execute the request.
+    :param max_attempts: maximum number of searchers of each shard that may execute the request.
     :param target_latency_ms: the route's latency objective.
     :param reply_after_ms: time after which to reply with the results so far.
     :param left_ms: time until the caller's deadline.
@@ -91,7 +91,7 @@
 
 
 class AttemptRequest(Struct, frozen=True):
-    """Asks for a further attempt at some shards, and reports on earlier attempts.
+    """Requests one more attempt at each of some shards, and reports on earlier attempts.
 
     :param number: number of the request.
     :param services: the shards; empty for a report only.
@@ -106,7 +106,7 @@
 
 
 class AttemptGrant(Struct, frozen=True):
-    """Allows one more attempt at each of some shards.
+    """Grants one more attempt at each of some shards.
 
     :param number: number of the request.
     :param services: the shards.
--- a/rhubarbhinge/delegation/_remote_attempt_control.py
+++ b/rhubarbhinge/delegation/_remote_attempt_control.py
@@ -20,8 +20,8 @@
     only it knows the request's progress at all shards.
 
     :param timers: the timer service.
-    :param request: asks the requesting entry for one more attempt at some shards, and reports the
-        progress of earlier attempts.
+    :param request: requests one more attempt at some shards from the requesting entry, and reports
+        the progress of earlier attempts.
     """
 
     def __init__(
--- a/rhubarbhinge/delegation/_server.py
+++ b/rhubarbhinge/delegation/_server.py
@@ -24,7 +24,7 @@
 from rhubarbhinge.timing import TimerHandle, TimerService
 
 TermsOf = Callable[[DelegateRequest, Delays], CallTerms]
-"""Returns the terms of the calls for a request."""
+"""Returns the limits and deadlines of the calls for a request."""
 
 
 class _Link(Struct, eq=False):
@@ -38,9 +38,9 @@
     """Searches shards on behalf of entries in other failure domains.
 
     :param timers: the timer service.
-    :param context: objects shared by all requests.
-    :param terms_of: returns the terms of the calls for a request.
-    :param delays_of: returns the usual delays on a route with a given latency objective.
+    :param context: state shared by all requests.
+    :param terms_of: returns the limits and deadlines of the calls for a request.
+    :param delays_of: returns the recent reply times on a route with a given latency objective.
     :param bind: IP address and port to listen on.
     :raises OSError: when the port cannot be bound.
     """
@@ -141,12 +141,12 @@
 class _DelegatedSearch:
     """A delegated search in progress.
 
-    :param context: objects shared by all requests.
+    :param context: state shared by all requests.
     :param request: the request.
-    :param terms: terms of the call to each shard.
-    :param delays: usual delays of such requests at one shard.
+    :param terms: limits and deadlines of the call to each shard.
+    :param delays: recent reply times of a single shard on the route.
     :param on_reply: called with the results when the reply is due, and with later ones after that.
-    :param request_attempts: asks for further attempts and reports the progress of earlier ones.
+    :param request_attempts: requests further attempts and reports the progress of earlier ones.
     :ivar attempts: permissions for further attempts.
     """
 
@@ -206,7 +206,7 @@
             self._untried.append(end.service)
         else:
             self._failed.append(end.service)
-        if self._reply_due or not self._calls.open:
+        if self._reply_due or not self._calls.pending_count:
             self._send_reply()
 
     def _on_reply_due(self) -> None:
--- a/rhubarbhinge/delegation/tests/test_client_server.py
+++ b/rhubarbhinge/delegation/tests/test_client_server.py
@@ -283,12 +283,12 @@
         for name in ("vm-1", "vm-4", "vm-5"):
             client = self.client(1)
             self.membership.me = replace(self.membership.me, name=name)
-            opened = chosen_by = []
+            opened = []
             client._open = lambda ip, domain, opened=opened: opened.append(ip)
             others = [replace(OTHER, name=f"vm-x{n}", ip=f"127.0.1.{n}") for n in range(40)]
             self.membership.on_members(others)
             client.choose("hall-b", 2)
-            chosen.append(frozenset(chosen_by))
+            chosen.append(frozenset(opened))
         self.assertEqual([len(found) for found in chosen], [6, 6, 6])
         self.assertEqual(len(set(chosen)), 3)
 
--- a/rhubarbhinge/delegation/tests/test_delegated_sender.py
+++ b/rhubarbhinge/delegation/tests/test_delegated_sender.py
@@ -39,7 +39,7 @@
         self.client = FakeDelegateClient()
         self.direct: list[FakeAttempt] = []
         self.outcomes = []
-        self.sends = DelegatedSender(self.world.timers, self.client, "hall-a", self._send_directly)
+        self.sender = DelegatedSender(self.world.timers, self.client, "hall-a", self._send_directly)
 
     def _send_directly(self, exchange, on_outcome) -> FakeAttempt:
         self.direct.append(FakeAttempt(exchange, on_outcome))
@@ -57,7 +57,7 @@
             "scan",
             search,
         )
-        return self.sends.send(exchange, self.outcomes.append)
+        return self.sender.send(exchange, self.outcomes.append)
 
     def reply(self, services=(), untried=(), pending=(), ran: bool = True) -> None:
         signatures = tuple(f"sig-{name}" for name in services)
--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -98,7 +98,7 @@
             lambda failure_domain: self._domain_checks.on_heard(failure_domain),
         )
         self._pool = ConnectionPool(
-            self.timers, dialect, self._most_connections, self._fleet.mark_gone, self._reachability
+            self.timers, dialect, self._max_connections, self._fleet.mark_gone, self._reachability
         ).register(self)
         self._domain_checks = DomainChecks(
             self.timers,
@@ -162,15 +162,15 @@
         )
         self.timers.on_pause(lambda late_ms: self._warmup_limiter.on_pause())
         self._connection_limit = connection_limit(self._follower, membership, self._processes)
-        delegates = DelegateClient(
+        delegate_client = DelegateClient(
             self.timers, membership, settings.ask_port, self._rng, self._reachability
         ).register(self)
-        prepare = delegates.prepare
+        prepare = delegate_client.prepare
         self.timers.every(LINK_CHECK_MS, lambda: prepare(settings.failure_domain))
         self._delegated_sender = DelegatedSender(
-            self.timers, delegates, settings.failure_domain, self._pool.send
+            self.timers, delegate_client, settings.failure_domain, self._pool.send
         )
-        delegation = shard_delegation(settings.failure_domain, context, delegates, self._rng)
+        delegation = shard_delegation(settings.failure_domain, context, delegate_client, self._rng)
         dependencies = GatewayDependencies(
             context,
             dialect,
@@ -202,7 +202,7 @@
             {
                 "callers": lambda: self._callers.sent_bytes,
                 "searchers": lambda: self._pool.sent_bytes,
-                "asks": lambda: delegates.sent_bytes,
+                "asks": lambda: delegate_client.sent_bytes,
                 "parts": lambda: self._delegate_server.sent_bytes,
                 "state": lambda: self._peers.sent_bytes,
             },
@@ -263,7 +263,7 @@
             return max(ASSUMED_ENTRIES, self._peers.membership.process_count())
         return self._peers.membership.process_count()
 
-    def _most_connections(self, observed: ObservedSearcher) -> int:
+    def _max_connections(self, observed: ObservedSearcher) -> int:
         return self._connection_limit(observed)
 
     def _searcher_removed(self, observed: ObservedSearcher) -> None:
--- a/rhubarbhinge/gateway/_entry_metrics.py
+++ b/rhubarbhinge/gateway/_entry_metrics.py
@@ -61,7 +61,7 @@
     :param pool: connections to the searchers.
     :param budget: the retry budget.
     :param link_usage: usage of the VM's network link.
-    :param quarantine: tracks requests that end the searchers executing them.
+    :param quarantine: tracks requests that crash the searchers executing them.
     :param event_log: the buffered event log; None if events are written elsewhere.
     """
 
--- a/rhubarbhinge/gateway/_gateway_dependencies.py
+++ b/rhubarbhinge/gateway/_gateway_dependencies.py
@@ -25,7 +25,7 @@
     :param lead_time: estimates how long before its due time an answer has to be started.
     :param balancer_delay_ms: returns the time until the load balancer sends callers to other
         entries, or 0 if it does not.
-    :param quarantine: tracks requests that end the searchers executing them.
+    :param quarantine: tracks requests that crash the searchers executing them.
     """
 
     context: CallContext
--- a/rhubarbhinge/gateway/_request_handler.py
+++ b/rhubarbhinge/gateway/_request_handler.py
@@ -86,7 +86,7 @@
         self._watch: RequestWatch | None = None
 
     def refuse(self, decision: Quarantined) -> None:
-        """Refuse the request because it ends the searchers that execute it.
+        """Refuse the request because it crashes the searchers that execute it.
 
         :param decision: the quarantine decision on the request.
         """
--- a/rhubarbhinge/gateway/_shard_delegation.py
+++ b/rhubarbhinge/gateway/_shard_delegation.py
@@ -30,14 +30,14 @@
 def shard_delegation(
     failure_domain: str,
     context: CallContext,
-    delegates: DelegateClient,
+    delegate_client: DelegateClient,
     rng: random.Random,
 ) -> ShardDelegation:
     """Create the delegation of shards to entries in this and other failure domains.
 
     :param failure_domain: failure domain of this entry.
     :param context: state shared by all requests.
-    :param delegates: sends delegated shards to other entries.
+    :param delegate_client: sends requests for delegated shards to other entries.
     :param rng: breaks ties between failure domains.
     :returns: the delegation.
     """
@@ -53,9 +53,9 @@
             domain, services = _largest_group(remote, rng)
             for service in services:
                 del remote[service]
-            addresses = delegates.choose(domain, _entry_count(services))
+            addresses = delegate_client.choose(domain, _entry_count(services))
             by_address.update(_split_evenly(services, addresses))
-        others = delegates.choose(failure_domain, _entry_count(local) - 1)
+        others = delegate_client.choose(failure_domain, _entry_count(local) - 1)
         # The empty address stands for this entry, which keeps the first part.
         by_address.update(_split_evenly(local, ["", *others]))
         by_address.pop("", None)
@@ -84,7 +84,7 @@
             reply_after_ms=max(0.0, terms.answer_by_ms - now_ms - REPLY_MARGIN_MS),
             left_ms=max(0.0, terms.call.deadline_ms - now_ms),
         )
-        return delegates.send(
+        return delegate_client.send(
             address, message, lambda reply: on_part(_partial_result(reply)), grant
         )
 
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -186,7 +186,7 @@
             mock.patch.object(_client, "Links", links),
             mock.patch.object(_server, "Links", links),
         ):
-            self.delegates = DelegateClient(
+            self.delegate_client = DelegateClient(
                 self.timers, StaticMembers(name), PORT, rng, reachability
             )
             self.delegate_server = DelegateServer(
@@ -196,9 +196,11 @@
                 lambda route, target_ms: self.delays,
                 (name, PORT),
             )
-        self._delegated_sender = DelegatedSender(self.timers, self.delegates, domain, self._send)
+        self._delegated_sender = DelegatedSender(
+            self.timers, self.delegate_client, domain, self._send
+        )
         self.delegation = _shard_delegation.shard_delegation(
-            domain, self.context, self.delegates, rng
+            domain, self.context, self.delegate_client, rng
         )
 
     def _send(self, exchange: Exchange, on_outcome: Callable[[Outcome], None]) -> SimulatedAttempt:
@@ -272,7 +274,7 @@
         """Start searches at several entries, some of which are cancelled by their callers."""
         for entry in self.entries.values():
             for domain in DOMAINS:
-                entry.delegates.choose(domain, 2)
+                entry.delegate_client.choose(domain, 2)
         self.timers.advance(10.0)
         for number in range(searches):
             self._pause_entries()
--- a/rhubarbhinge/gateway/tests/simulated_fatal.py
+++ b/rhubarbhinge/gateway/tests/simulated_fatal.py
@@ -1,7 +1,7 @@
-"""Simulation of a request that ends the searchers that execute it, over simulated links.
+"""Simulation of a request that crashes the searchers executing it, over simulated links.
 
 Extends :mod:`simulated_attempts` by searchers that end and restart, and by entries that exchange
-their findings in datagrams, which are lost and delayed. The results are judged by the attempts of
+their suspicions in datagrams, which are lost and delayed. The results are judged by the attempts of
 the caller that reached searchers, and by their times.
 """
 
@@ -33,7 +33,7 @@
 RESTART_MS = 3_000.0
 HEARTBEAT_MS = 1_000.0
 SETTLE_MS = 4_000.0
-"""Time after its start or a pause until an entry is expected to know the findings of others."""
+"""Time after its start or a pause until an entry is expected to know the suspicions of others."""
 MIN_ENDED_SEARCHERS = 3
 """Number of ended searchers from which the tested limit applies."""
 
@@ -145,7 +145,7 @@
         for name in self.simulation.rng.sample(others, 2):
             self.simulation.send_gossip(self.name, name)
 
-    def take(self, request_id: str, fatal: bool, on_end) -> None:
+    def handle_request(self, request_id: str, fatal: bool, on_end) -> None:
         """Handle a caller's request as the gateway does."""
         fingerprint = FATAL if fatal else request_id
         decision = self.quarantine.decide(fingerprint, "route")
@@ -214,15 +214,15 @@
         self.good_results: list[bool] = []
 
     def send_gossip(self, sender: str, receiver: str) -> None:
-        """Send the findings of one entry to another, as a heartbeat does."""
+        """Send the suspicions of one entry to another, as a heartbeat does."""
         if self.rng.random() < self.datagram_loss:
             return
-        findings = self.entries[sender].quarantine_gossip.outgoing()
+        suspicions = self.entries[sender].quarantine_gossip.outgoing()
         delay_ms = self.rng.choice((0.5, 2.0, 2.0, 30.0))
 
         def arrive() -> None:
             other = self.entries[receiver]
-            other.timers.after(0.0, lambda: other.quarantine_gossip.receive(findings))
+            other.timers.after(0.0, lambda: other.quarantine_gossip.receive(suspicions))
 
         self.timers.after(delay_ms, arrive)
 
@@ -238,7 +238,7 @@
         """Send fatal and harmless requests several times a second."""
         for entry in self.entries.values():
             for domain in set(ENTRIES.values()):
-                entry.delegates.choose(domain, 2)
+                entry.delegate_client.choose(domain, 2)
         self.timers.advance(2 * SETTLE_MS)
         for second in range(seconds):
             for place in range(4):
@@ -260,7 +260,7 @@
             elif result is not None and retries:
                 self._send_request(f"{request_id}-again", fatal, retries - 1)
 
-        entry.take(request_id, fatal, ended)
+        entry.handle_request(request_id, fatal, ended)
 
     def _pause_an_entry(self) -> None:
         drawn, name = self.rng.random(), self.rng.choice(list(ENTRIES))
--- a/rhubarbhinge/gateway/tests/simulated_links.py
+++ b/rhubarbhinge/gateway/tests/simulated_links.py
@@ -49,22 +49,22 @@
         self._deferred: deque[TimerHandle] = deque()
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
-        subscription = TimerHandle(callback, None, lambda: None)
-        self._timers.after(delay_ms, lambda: self._run(subscription))
-        return subscription
+        handle = TimerHandle(callback, None, lambda: None)
+        self._timers.after(delay_ms, lambda: self._run(handle))
+        return handle
 
-    def _run(self, subscription: TimerHandle) -> None:
-        if not subscription.active:
+    def _run(self, handle: TimerHandle) -> None:
+        if not handle.active:
             return
         left_ms = self.paused_until_ms - self.now_ms()
         if self._deferred or left_ms > 0:
             # Callbacks that are due during a pause run in order after it.
             if not self._deferred:
                 self._timers.after(left_ms, self._resume)
-            self._deferred.append(subscription)
+            self._deferred.append(handle)
             return
-        subscription.active = False
-        subscription.callback()
+        handle.active = False
+        handle.callback()
 
     def _resume(self) -> None:
         left_ms = self.paused_until_ms - self.now_ms()
@@ -72,21 +72,21 @@
             self._timers.after(left_ms, self._resume)
             return
         while self._deferred:
-            subscription = self._deferred.popleft()
-            if subscription.active:
-                subscription.active = False
-                subscription.callback()
+            handle = self._deferred.popleft()
+            if handle.active:
+                handle.active = False
+                handle.callback()
 
 
 class _Connection:
     """One connection between two entries."""
 
-    def __init__(self, results: tuple["_End", "_End"]):
-        self.results = results
+    def __init__(self, ends: tuple["_End", "_End"]):
+        self.ends = ends
         self.is_open = True
         self.severed_from: set[_End] = set()
-        self.next_arrival_ms = dict.fromkeys(results, 0.0)
-        self.in_transit: dict[_End, deque[bytes]] = {end: deque() for end in results}
+        self.next_arrival_ms = dict.fromkeys(ends, 0.0)
+        self.in_transit: dict[_End, deque[bytes]] = {end: deque() for end in ends}
 
 
 class _End:
@@ -125,7 +125,7 @@
             self.timers.after(SILENCE_MS, lambda: self._notice_cut(conn, sender))
         if sender in conn.severed_from:
             return
-        receiver = conn.results[1] if sender is conn.results[0] else conn.results[0]
+        receiver = conn.ends[1] if sender is conn.ends[0] else conn.ends[0]
         conn.in_transit[receiver].append(data)
         at_ms = max(conn.next_arrival_ms[sender], self.timers.now_ms() + self.delay_ms())
         conn.next_arrival_ms[sender] = at_ms
@@ -145,7 +145,7 @@
         sender.links.closed(sender.number, CloseReason.SILENT)
 
     def end(self, conn: _Connection, reason: CloseReason) -> None:
-        for end in conn.results:
+        for end in conn.ends:
             end.links.closed(end.number, reason)
         conn.is_open = False
 
@@ -172,11 +172,11 @@
 
     def open(self, ip: str, port: int, timeout_ms: float) -> int:
         server = self.network.servers[ip]
-        near, delegation = _End(self, next(self.numbers)), _End(server, next(server.numbers))
-        conn = _Connection((near, delegation))
+        near, far = _End(self, next(self.numbers)), _End(server, next(server.numbers))
+        conn = _Connection((near, far))
         self.conns[near.number] = (conn, near)
-        server.conns[delegation.number] = (conn, delegation)
-        server.timers.after(1.0, lambda: server.on_open(delegation.number, True))
+        server.conns[far.number] = (conn, far)
+        server.timers.after(1.0, lambda: server.on_open(far.number, True))
         self.timers.after(2.0, lambda: self.on_open(near.number, False))
         return near.number
 
--- a/rhubarbhinge/gateway/tests/test_attempts.py
+++ b/rhubarbhinge/gateway/tests/test_attempts.py
@@ -41,7 +41,7 @@
         self.assertLessEqual(simulation.max_searchers(), simulation.max_attempts)
 
     def test_simulations_cover_other_entries_and_all_attempts(self):
-        worlds = [self.simulate(seed) for seed in range(40)]
-        self.assertIn(3, {simulation.max_searchers() for simulation in worlds})
-        self.assertTrue(any(simulation.network.servers["b-1"].conns for simulation in worlds))
-        self.assertTrue(any(simulation.results for simulation in worlds))
+        simulations = [self.simulate(seed) for seed in range(40)]
+        self.assertIn(3, {simulation.max_searchers() for simulation in simulations})
+        self.assertTrue(any(simulation.network.servers["b-1"].conns for simulation in simulations))
+        self.assertTrue(any(simulation.results for simulation in simulations))
--- a/rhubarbhinge/gateway/tests/test_domain_checks.py
+++ b/rhubarbhinge/gateway/tests/test_domain_checks.py
@@ -26,9 +26,9 @@
     def __init__(self, timers: FakeTimers, reachability, is_unreachable):
         self._timers = timers
         self._reachability = reachability
-        self._is_dark = is_unreachable
+        self._is_unreachable = is_unreachable
         self.opened: list[ObservedSearcher] = []
-        self.set_aside_searchers: list[ObservedSearcher] = []
+        self.suspended_searchers: list[ObservedSearcher] = []
 
     def verify(self, observed: ObservedSearcher) -> None:
         observed.on_unreachable()
@@ -36,11 +36,11 @@
 
     def suspend_searcher(self, observed: ObservedSearcher) -> None:
         observed.on_unreachable()
-        self.set_aside_searchers.append(observed)
+        self.suspended_searchers.append(observed)
 
     def open_ahead(self, observed: ObservedSearcher) -> None:
         self.opened.append(observed)
-        if not self._is_dark(observed):
+        if not self._is_unreachable(observed):
             self._timers.after(8.0, lambda: self._connected(observed))
 
     def _connected(self, observed: ObservedSearcher) -> None:
@@ -102,7 +102,7 @@
         self.timers.advance(VERIFY_TIMEOUT_MS)
         self.assertLessEqual(entry.down(), 2 + SAMPLE_SIZE)
         self.assertLessEqual(len(entry.pool.opened), SAMPLE_SIZE)
-        self.assertEqual(entry.pool.set_aside_searchers, [])
+        self.assertEqual(entry.pool.suspended_searchers, [])
 
     def test_all_searchers_of_a_partitioned_domain_go_down_together(self):
         entry = self.entry(lambda observed: True)
--- a/rhubarbhinge/gateway/tests/test_fatal_requests.py
+++ b/rhubarbhinge/gateway/tests/test_fatal_requests.py
@@ -44,8 +44,8 @@
         self.assertLessEqual(len(simulation.late_attempts()), MAX_LATE_ATTEMPTS)
 
     def test_only_the_fatal_request_is_quarantined_in_varied_simulations(self):
-        worlds = [self.simulate(seed) for seed in range(12)]
-        for simulation in worlds:
+        simulations = [self.simulate(seed) for seed in range(12)]
+        for simulation in simulations:
             for entry in simulation.entries.values():
                 quarantined = {
                     one.fingerprint
@@ -53,7 +53,7 @@
                     if one.quarantined
                 }
                 self.assertLessEqual(quarantined, {FATAL})
-        self.assertTrue(any(len(simulation.searchers.ends_ms) >= 10 for simulation in worlds))
-        self.assertTrue(any(simulation.faults.pause for simulation in worlds))
-        self.assertTrue(any(simulation.datagram_loss for simulation in worlds))
-        self.assertTrue(any(sum(simulation.good_results) for simulation in worlds))
+        self.assertTrue(any(len(simulation.searchers.ends_ms) >= 10 for simulation in simulations))
+        self.assertTrue(any(simulation.faults.pause for simulation in simulations))
+        self.assertTrue(any(simulation.datagram_loss for simulation in simulations))
+        self.assertTrue(any(sum(simulation.good_results) for simulation in simulations))
--- a/rhubarbhinge/gateway/tests/test_shard_delegation.py
+++ b/rhubarbhinge/gateway/tests/test_shard_delegation.py
@@ -8,8 +8,8 @@
 from rhubarbhinge.gateway._shard_delegation import MAX_SHARDS_PER_ENTRY, shard_delegation
 
 
-class FakeDelegates:
-    """Fake delegates with entries that are always ready.
+class FakeDelegateClient:
+    """Fake client with entries that are always ready.
 
     :param by_domain: addresses of the entries of each failure domain.
     """
@@ -29,7 +29,7 @@
             domain = "hall-a" if local else "hall-b"
             world.fleet.put(Searcher(f"i-{service}", service, "10.0.0.1", 80, domain, 2))
         delegation = shard_delegation(
-            "hall-a", world.context, FakeDelegates(entries), random.Random(1)
+            "hall-a", world.context, FakeDelegateClient(entries), random.Random(1)
         )
         self.services = services
         return delegation.shards_for(REQUEST, None, services)
--- a/rhubarbhinge/gather/_scatter_gather.py
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -23,7 +23,7 @@
     :param context: state shared by all requests.
     :param request: the caller's request.
     :param terms: limits and deadlines of the search.
-    :param delays: typical reply times of a single shard on this route.
+    :param delays: recent reply times of a single shard on the route.
     :param delegation: delegates shards to other entries.
     :param on_end: called once with the result, never from within :meth:`start`.
     :param trace: records the decisions made for the request.
@@ -73,7 +73,7 @@
             self._send(reachable)
 
     def _send_to_one(self) -> None:
-        """Send to a single shard first, as the request may end the searchers that execute it."""
+        """Send to a single shard first, as the request may crash the searchers that execute it."""
         service = self._unsent.pop(0)
         self._context.budget.on_request((service,))
         self._calls.start((service,))
@@ -207,15 +207,15 @@
         or once enough shards have replied and the answer is due.
         """
         shards = self._terms.shards
-        pending = self._open_shards()
+        pending = self._pending_shards()
         if not shards.is_enough(len(self._signatures) + pending):
             self._fail()
         elif not pending or (self._past_due and shards.is_enough(len(self._signatures))):
             self._answer()
 
-    def _open_shards(self) -> int:
+    def _pending_shards(self) -> int:
         delegated = sum(len(services) for _, services in self._delegated.values())
-        return self._calls.open + delegated + len(self._unsent)
+        return self._calls.pending_count + delegated + len(self._unsent)
 
     def _on_answer_due(self) -> None:
         self._past_due = True
--- a/rhubarbhinge/gather/_shard_calls.py
+++ b/rhubarbhinge/gather/_shard_calls.py
@@ -42,7 +42,7 @@
     :param context: state shared by all requests.
     :param request: the caller's request.
     :param terms: limits and deadlines of the call to each shard.
-    :param delays: typical reply times of a single shard on this route.
+    :param delays: recent reply times of a single shard on the route.
     :param on_end: called with the outcome of each call, never from within :meth:`start`.
     :param trace: records the decisions made for the request.
     """
@@ -65,7 +65,7 @@
         self._calls: dict[str, ServiceCall] = {}
 
     @property
-    def open(self) -> int:
+    def pending_count(self) -> int:
         """Number of pending calls."""
         return len(self._calls)
 
--- a/rhubarbhinge/peers/_peers.py
+++ b/rhubarbhinge/peers/_peers.py
@@ -55,7 +55,7 @@
     :param rng: adds jitter to heartbeats, and chooses peers.
     :param reads_platform: returns whether this entry successfully reads the platform itself.
     :param quarantine: suspicions about requests that crash searchers, sent with heartbeats.
-    :raises OSError: when the port can not be bound.
+    :raises OSError: when the port cannot be bound.
     :ivar membership: the members of the fleet.
     :ivar reports: the members' latest reports on the published state.
     :ivar quarantine_gossip: spreads suspicions about requests that crash searchers.
--- a/rhubarbhinge/peers/_shared_source.py
+++ b/rhubarbhinge/peers/_shared_source.py
@@ -50,8 +50,7 @@
 """Reported when everything has to be listed again because this entry reads the platform and needs
 the full state."""
 ERA_CHANGED = "era-changed"
-"""Code for a reader's response that is not used because another entry reported a later era
-since."""
+"""Code for a reader's response that is not used because another entry reported a later era."""
 
 OnOutcome = Callable[[Changes | Snapshot | ReadFailure], None]
 
--- a/rhubarbhinge/published/_changes.py
+++ b/rhubarbhinge/published/_changes.py
@@ -23,7 +23,7 @@
     :param by_peer: whether a peer sent it, which costs the platform no call.
     :param lapsed_ms: searchers that are no longer published, with the time for which the sending
         peer still retains them. The revision covers their removal, so it is not reported again.
-    :param unusable: store entries that can't be used; peers do not send them.
+    :param unusable: store entries that cannot be used; peers do not send them.
     :param evacuations: failure domains whose evacuation started or ended.
     """
 
--- a/rhubarbhinge/published/_snapshot.py
+++ b/rhubarbhinge/published/_snapshot.py
@@ -20,7 +20,7 @@
         is not known, as for a list that may be stale.
     :param lapsed_ms: those of the searchers that are no longer published, with the time for which
         the sending peer still retains them.
-    :param unusable: store entries that can't be used; peers do not send them.
+    :param unusable: store entries that cannot be used; peers do not send them.
     :param evacuated: the failure domains that are evacuated; None when it is not known, as in
         states sent by peers of an earlier release.
     """
--- a/rhubarbhinge/published/_unusable_entries.py
+++ b/rhubarbhinge/published/_unusable_entries.py
@@ -1,4 +1,4 @@
-"""Store entries that can't be used, logged once for each cause."""
+"""Store entries that cannot be used, logged once for each cause."""
 
 from collections.abc import Callable, Iterable
 
@@ -19,7 +19,7 @@
 
 
 class UnusableEntries:
-    """Keys whose values can't be used, with a log line for each cause.
+    """Keys whose values cannot be used, with a log line for each cause.
 
     :param now_ms: returns the current time.
     :ivar total_found: number of unusable values read since the start.
@@ -45,7 +45,7 @@
         self._record(entries, previous)
 
     def add(self, entries: Iterable[UnusableEntry]) -> None:
-        """Add newly written store entries that can't be used.
+        """Add newly written store entries that cannot be used.
 
         :param entries: the store entries.
         """
--- a/rhubarbhinge/published/_unverified_searchers.py
+++ b/rhubarbhinge/published/_unverified_searchers.py
@@ -9,8 +9,7 @@
 """A searcher that is still published after this time has written again: otherwise its lease, three
 heartbeats of 1.2 s, would have run out, and a late response would have arrived."""
 RECHECK_MS = 500.0
-"""Interval at which an entry that receives no changes checks whether its state was confirmed
-since."""
+"""Interval at which an entry checks whether its state was confirmed since, if it was not yet."""
 
 
 class UnverifiedSearchers:
--- a/rhubarbhinge/published/tests/test_restores.py
+++ b/rhubarbhinge/published/tests/test_restores.py
@@ -303,8 +303,7 @@
 
 
 class ResyncTest(RestoresCase):
-    """What expires by time has no revision, so entries at the same revision would not learn of
-    it."""
+    """Entries at the same revision do not learn what expires by time, as it has no revision."""
 
     def test_full_state_is_requested_once_after_settling(self):
         self.restore_platform()
