--- a/rhubarbhinge/peers/tests/test_state_transfer_size.py
+++ b/rhubarbhinge/peers/tests/test_state_transfer_size.py
@@ -3,9 +3,9 @@
 Guards against a reader that saturates its link by sending the full state to each follower. In an
 incident with 59 VMs, the reader of a failure domain sent a changed serving plan in full to each of
 eleven entries, 590 KB in total, which filled its link of 8.4 Mbit/s for half a second. Its searches
-were delayed by 346 ms, its delegated requests were given up as not taken, and six searches went to
-more searchers than allowed. After each new plan and each change of readers, readers sent ten times
-as much in a second as other VMs.
+were delayed by 346 ms, its delegated requests failed as they were not accepted in time, and six
+searches went to more searchers than allowed. After each new plan and each change of readers,
+readers sent ten times as much in a second as other VMs.
 """
 
 import unittest
@@ -21,12 +21,12 @@
 
 FOLLOWERS = 11
 """Entries that follow the reader in a failure domain of twelve."""
-REQUEST_WAIT_MS = 30.0
-"""A delegated request that is not taken within this time is given up, so a transfer has to be
+ACCEPT_TIMEOUT_MS = 30.0
+"""A delegated request that is not accepted within this time fails, so a transfer has to be
 shorter."""
 LINK_BYTES_PER_MS = 1_050.0
 """Capacity of the link of such a VM, 8.4 Mbit/s."""
-MAX_BYTES = int(REQUEST_WAIT_MS * LINK_BYTES_PER_MS)
+MAX_BYTES = int(ACCEPT_TIMEOUT_MS * LINK_BYTES_PER_MS)
 
 TIMEOUT_S = 40.0
 """Timeout of each wait; an entry that was suspended does not ask its reader for three seconds."""
