--- a/rhubarbhinge/gateway/_entry.py
+++ b/rhubarbhinge/gateway/_entry.py
@@ -12,7 +12,7 @@
 from rhubarbhinge.forward import CallContext, CallTerms, ConnectionPool, Dialect
 from rhubarbhinge.gateway._address import Address
 from rhubarbhinge.gateway._answer_lead_time import AnswerLeadTime
-from rhubarbhinge.gateway._call_terms import ask_terms
+from rhubarbhinge.gateway._call_terms import delegated_call_terms
 from rhubarbhinge.gateway._connection_limit import connection_limit
 from rhubarbhinge.gateway._domain_checks import DomainChecks
 from rhubarbhinge.gateway._endpoints import metrics_handler, readiness_handler
@@ -98,7 +98,7 @@
             lambda failure_domain: self._domain_checks.on_heard(failure_domain),
         )
         self._pool = ConnectionPool(
-            self.timers, dialect, self._most_connections, self._fleet.mark_gone, self._reachability
+            self.timers, dialect, self._max_connections, self._fleet.mark_gone, self._reachability
         ).register(self)
         self._domain_checks = DomainChecks(
             self.timers,
@@ -162,15 +162,15 @@
         )
         self.timers.on_pause(lambda late_ms: self._warmup_limiter.on_pause())
         self._connection_limit = connection_limit(self._follower, membership, self._processes)
-        delegates = DelegateClient(
+        delegate_client = DelegateClient(
             self.timers, membership, settings.ask_port, self._rng, self._reachability
         ).register(self)
-        prepare = delegates.prepare
+        prepare = delegate_client.prepare
         self.timers.every(LINK_CHECK_MS, lambda: prepare(settings.failure_domain))
         self._delegated_sender = DelegatedSender(
-            self.timers, delegates, settings.failure_domain, self._pool.send
+            self.timers, delegate_client, settings.failure_domain, self._pool.send
         )
-        delegation = shard_delegation(settings.failure_domain, context, delegates, self._rng)
+        delegation = shard_delegation(settings.failure_domain, context, delegate_client, self._rng)
         dependencies = GatewayDependencies(
             context,
             dialect,
@@ -186,10 +186,10 @@
         self._serving_state = ServingState(
             self.timers.now_ms, self._fleet, self._gateway.can_serve, self._serving_changed
         )
-        self._asks = DelegateServer(
+        self._delegate_server = DelegateServer(
             self.timers,
             context,
-            self._ask_terms,
+            self._delegated_call_terms,
             self._gateway.delays_of,
             (settings.ip, settings.ask_port),
         ).register(self)
@@ -202,8 +202,8 @@
             {
                 "callers": lambda: self._callers.sent_bytes,
                 "searchers": lambda: self._pool.sent_bytes,
-                "asks": lambda: delegates.sent_bytes,
-                "parts": lambda: self._asks.sent_bytes,
+                "asks": lambda: delegate_client.sent_bytes,
+                "parts": lambda: self._delegate_server.sent_bytes,
                 "state": lambda: self._peers.sent_bytes,
             },
             lambda: self._settings.current.link_bits_per_ms,
@@ -220,7 +220,7 @@
             quarantine,
             event_log,
         )
-        self._shutdown = Shutdown(self.timers, self._callers, self._asks, self.stop)
+        self._shutdown = Shutdown(self.timers, self._callers, self._delegate_server, self.stop)
         self.timers.after(NO_PLAN_WAIT_MS, self._accept_callers)
         readiness = readiness_handler(
             lambda: self._settings.current.readiness_path, lambda: self.ready
@@ -254,8 +254,8 @@
         self._budget.rule = settings.retry_budget
         self._peers.membership.set_seeds(settings.seed_ips)
 
-    def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
-        return ask_terms(ask, delays, self.timers.now_ms())
+    def _delegated_call_terms(self, request: DelegateRequest, delays: Delays) -> CallTerms:
+        return delegated_call_terms(request, delays, self.timers.now_ms())
 
     def _processes(self) -> int:
         now_ms = self.timers.now_ms()
@@ -263,7 +263,7 @@
             return max(ASSUMED_ENTRIES, self._peers.membership.process_count())
         return self._peers.membership.process_count()
 
-    def _most_connections(self, observed: ObservedSearcher) -> int:
+    def _max_connections(self, observed: ObservedSearcher) -> int:
         return self._connection_limit(observed)
 
     def _searcher_removed(self, observed: ObservedSearcher) -> None:
--- a/rhubarbhinge/gateway/tests/simulated_attempts.py
+++ b/rhubarbhinge/gateway/tests/simulated_attempts.py
@@ -33,7 +33,7 @@
     SearcherReply,
 )
 from rhubarbhinge.gateway import _shard_delegation
-from rhubarbhinge.gateway._call_terms import ask_terms, call_terms
+from rhubarbhinge.gateway._call_terms import call_terms, delegated_call_terms
 from rhubarbhinge.gateway.tests.simulated_links import (
     FaultRates,
     HostTimers,
@@ -186,26 +186,28 @@
             mock.patch.object(_client, "Links", links),
             mock.patch.object(_server, "Links", links),
         ):
-            self.delegates = DelegateClient(
+            self.delegate_client = DelegateClient(
                 self.timers, StaticMembers(name), PORT, rng, reachability
             )
-            self.asks = DelegateServer(
+            self.delegate_server = DelegateServer(
                 self.timers,
                 self.context,
-                self._ask_terms,
+                self._delegated_call_terms,
                 lambda route, target_ms: self.delays,
                 (name, PORT),
             )
-        self._delegated_sender = DelegatedSender(self.timers, self.delegates, domain, self._send)
+        self._delegated_sender = DelegatedSender(
+            self.timers, self.delegate_client, domain, self._send
+        )
         self.delegation = _shard_delegation.shard_delegation(
-            domain, self.context, self.delegates, rng
+            domain, self.context, self.delegate_client, rng
         )
 
     def _send(self, exchange: Exchange, on_outcome: Callable[[Outcome], None]) -> SimulatedAttempt:
         return SimulatedAttempt(self.simulation.searchers, self.timers, exchange, on_outcome)
 
-    def _ask_terms(self, ask: DelegateRequest, delays: Delays) -> CallTerms:
-        return ask_terms(ask, delays, self.timers.now_ms())
+    def _delegated_call_terms(self, request: DelegateRequest, delays: Delays) -> CallTerms:
+        return delegated_call_terms(request, delays, self.timers.now_ms())
 
     def search(
         self, request_id: str, shards: ShardSet, max_attempts: int, on_end: Callable
@@ -272,7 +274,7 @@
         """Start searches at several entries, some of which are cancelled by their callers."""
         for entry in self.entries.values():
             for domain in DOMAINS:
-                entry.delegates.choose(domain, 2)
+                entry.delegate_client.choose(domain, 2)
         self.timers.advance(10.0)
         for number in range(searches):
             self._pause_entries()
--- a/rhubarbhinge/gateway/tests/test_shard_delegation.py
+++ b/rhubarbhinge/gateway/tests/test_shard_delegation.py
@@ -8,8 +8,8 @@
 from rhubarbhinge.gateway._shard_delegation import MAX_SHARDS_PER_ENTRY, shard_delegation
 
 
-class FakeDelegates:
-    """Fake delegates with entries that are always ready.
+class FakeDelegateClient:
+    """Fake client with entries that are always ready.
 
     :param by_domain: addresses of the entries of each failure domain.
     """
@@ -29,16 +29,16 @@
             domain = "hall-a" if local else "hall-b"
             world.fleet.put(Searcher(f"i-{service}", service, "10.0.0.1", 80, domain, 2))
         delegation = shard_delegation(
-            "hall-a", world.context, FakeDelegates(entries), random.Random(1)
+            "hall-a", world.context, FakeDelegateClient(entries), random.Random(1)
         )
         self.services = services
         return delegation.shards_for(REQUEST, None, services)
 
     def assert_split(self, assigned: dict, addresses: set[str], kept_count: int) -> None:
-        asked = [service for services in assigned.values() for service in services]
+        delegated = [service for services in assigned.values() for service in services]
         self.assertEqual(set(assigned), addresses)
-        self.assertEqual(len(asked), len(set(asked)))
-        self.assertEqual(len(self.services) - len(asked), kept_count)
+        self.assertEqual(len(delegated), len(set(delegated)))
+        self.assertEqual(len(self.services) - len(delegated), kept_count)
         sizes = {len(services) for services in assigned.values()}
         self.assertLessEqual(max(sizes) - min(sizes), 1)
 
--- a/rhubarbhinge/gather/_scatter_gather.py
+++ b/rhubarbhinge/gather/_scatter_gather.py
@@ -23,10 +23,10 @@
     :param context: state shared by all requests.
     :param request: the caller's request.
     :param terms: limits and deadlines of the search.
-    :param delays: typical reply times of a single shard on this route.
+    :param delays: recent reply times of a single shard on the route.
     :param delegation: delegates shards to other entries.
     :param on_end: called once with the result, never from within :meth:`start`.
-    :param request_log: records the steps of the request for the log.
+    :param trace: records the decisions made for the request.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         delays: Delays,
         delegation: ShardDelegation,
         on_end: Callable[[Gathered | TooFewShards], None],
-        request_log: RequestTrace,
+        trace: RequestTrace,
     ):
         self._context = context
         self._request = request
@@ -45,10 +45,8 @@
         self._control = terms.call.control
         self._delegation = delegation
         self._on_end = on_end
-        self._request_log = request_log
-        self._calls = ShardCalls(
-            context, request, terms.call, delays, self._on_shard_end, request_log
-        )
+        self._trace = trace
+        self._calls = ShardCalls(context, request, terms.call, delays, self._on_shard_end, trace)
         self._unsent: list[str] = []
         self._signatures: dict[str, str] = {}
         self._bodies: list[bytes] = []
@@ -75,7 +73,7 @@
             self._send(reachable)
 
     def _send_to_one(self) -> None:
-        """Send to a single shard first, as the request may end the searchers that execute it."""
+        """Send to a single shard first, as the request may crash the searchers that execute it."""
         service = self._unsent.pop(0)
         self._context.budget.on_request((service,))
         self._calls.start((service,))
@@ -97,9 +95,9 @@
             self._timer.cancel()
         self._may_have_run = self._may_have_run or self._calls.may_have_run or bool(self._delegated)
         self._calls.cancel()
-        asks, self._delegated = self._delegated, {}
-        for ask, _ in asks.values():
-            ask.cancel()
+        searches, self._delegated = self._delegated, {}
+        for search, _ in searches.values():
+            search.cancel()
 
     def time_out(self) -> None:
         """Finish at the deadline with the replies received so far."""
@@ -111,8 +109,8 @@
             self._fail(timed_out=True)
 
     def _delegate(self, address: str, services: list[str]) -> None:
-        self._request_log.note("ask-sent", ",".join(services), entry=address)
-        ask = self._delegation.ask(
+        self._trace.note("ask-sent", ",".join(services), entry=address)
+        search = self._delegation.send(
             address,
             self._request,
             self._terms,
@@ -120,7 +118,7 @@
             lambda part: self._on_partial_result(address, part),
             lambda wanted, report: self._grant_attempts(address, wanted, report),
         )
-        self._delegated[address] = (ask, services)
+        self._delegated[address] = (search, services)
         self._delegated_attempts.update(services)
 
     def _grant_attempts(
@@ -152,27 +150,27 @@
         return True
 
     def _on_attempt_available(self, address: str, service: str) -> None:
-        ask, services = self._delegated.get(address, (None, ()))
+        search, services = self._delegated.get(address, (None, ()))
         if service in services and self._claim_attempt(address, service):
-            ask.grant((service,))
+            search.grant((service,))
 
     def _on_partial_result(self, address: str, part: PartialResult | None) -> None:
         if self._finished:
             return
-        ask, services = self._delegated.pop(address)
+        search, services = self._delegated.pop(address)
         in_time = "none" if part is None else len(part.services)
-        self._request_log.note("ask-ended", ",".join(services), entry=address, parts=in_time)
+        self._trace.note("ask-ended", ",".join(services), entry=address, parts=in_time)
         for name in services:
             if part is None or name not in part.pending:
                 self._control.on_call_finished(name)
         if part is None or not _is_valid(part, services):
             # The records of unexpected shards cannot be separated from the rest of the part.
-            ask.cancel()
+            search.cancel()
             self._may_have_run = True
             self._calls.start(services, prior_attempts=self._delegated_attempts)
         else:
             if part.pending:
-                self._delegated[address] = (ask, list(part.pending))
+                self._delegated[address] = (search, list(part.pending))
             self._merge_part(part)
         self._finish_if_possible()
 
@@ -209,15 +207,15 @@
         or once enough shards have replied and the answer is due.
         """
         shards = self._terms.shards
-        pending = self._open_shards()
+        pending = self._pending_shards()
         if not shards.is_enough(len(self._signatures) + pending):
             self._fail()
         elif not pending or (self._past_due and shards.is_enough(len(self._signatures))):
             self._answer()
 
-    def _open_shards(self) -> int:
-        asked = sum(len(services) for _, services in self._delegated.values())
-        return self._calls.open + asked + len(self._unsent)
+    def _pending_shards(self) -> int:
+        delegated = sum(len(services) for _, services in self._delegated.values())
+        return self._calls.pending_count + delegated + len(self._unsent)
 
     def _on_answer_due(self) -> None:
         self._past_due = True
